--- a/bench/decisions_bench.ts
+++ b/bench/decisions_bench.ts
@@ -2,8 +2,8 @@
  * Cost of each decision as the fleet grows: with few and with many upstreams,
  * in one run, as microseconds and as a ratio.
  */
-import {createEntryGate} from '../src/process/admission/entry_gate.js';
-import {createLoadBoard} from '../src/process/admission/load_board.js';
+import {createEntryAdmission} from '../src/process/admission/entry_admission.js';
+import {createLoadTable} from '../src/process/admission/load_table.js';
 import {createPlacementChooser} from '../src/process/placement/placement.js';
 import {createUpstreamDirectory} from '../src/process/membership/upstream_directory.js';
 import type {UpstreamEntry} from '../src/process/membership/upstream_entry.js';
@@ -78,7 +78,7 @@
 
 function createPictures(size: FleetSize) {
   const nowMillis = (): number => performance.now();
-  const board = createLoadBoard(nowMillis);
+  const loadTable = createLoadTable(nowMillis);
   const directory = createUpstreamDirectory({
     nowMillis,
     onChange: () => undefined,
@@ -86,7 +86,7 @@
   const entries = entriesOf(size);
   directory.put(entries);
   for (const entry of entries) {
-    board.observe({
+    loadTable.observe({
       upstreamId: entry.id,
       service: entry.service,
       inFlightCount: 3,
@@ -97,14 +97,14 @@
       madeAtMillis: nowMillis(),
     });
   }
-  return {board, directory, entries, nowMillis};
+  return {loadTable, directory, entries, nowMillis};
 }
 
 function preparePlacement(size: FleetSize): (round: number) => void {
-  const {board, directory, nowMillis} = createPictures(size);
+  const {loadTable, directory, nowMillis} = createPictures(size);
   const chooser = createPlacementChooser({
     directory,
-    board,
+    loadTable,
     hostKey: '10.9.9.9:80',
     zone: 'zone-0',
     region: 'region-0',
@@ -119,8 +119,8 @@
 }
 
 function prepareGate(size: FleetSize): (round: number) => void {
-  const {board} = createPictures(size);
-  const gate = createEntryGate(board, () => true);
+  const {loadTable} = createPictures(size);
+  const gate = createEntryAdmission(loadTable, () => true);
   const tree = new Map([
     ['service-1', 1],
     ['service-2', 4],
--- a/src/base/loop_clock.ts
+++ b/src/base/cached_clock.ts
@@ -6,7 +6,7 @@
  */
 
 /** Creates a clock in milliseconds over one that costs more to read. */
-export function createLoopClock(readMillis: () => number): () => number {
+export function createCachedClock(readMillis: () => number): () => number {
   let turnMillis = 0;
   let isRead = false;
   const endTurn = (): void => {
--- a/src/cli/route_explanation.ts
+++ b/src/cli/route_explanation.ts
@@ -3,7 +3,7 @@
  */
 import type {
   CompiledPolicy,
-  RepeatRule,
+  PolicyRepeatRule,
   RouteMatch,
 } from '../version/policy.js';
 
@@ -20,7 +20,7 @@
   readonly classesCount: number;
   /** Classes that are shed before this one. */
   readonly lessImportantClasses: readonly string[];
-  readonly repeat: RepeatRule;
+  readonly repeat: PolicyRepeatRule;
   readonly retryBound: number;
   readonly deadlineMillis: number;
   readonly queueCount: number;
@@ -32,7 +32,7 @@
   readonly reservedRatio: number;
 }
 
-const REPEAT_WORDS: Readonly<Record<RepeatRule, string>> = {
+const REPEAT_WORDS: Readonly<Record<PolicyRepeatRule, string>> = {
   safe: 'may be sent again, even on behalf of a request that may not',
   idempotent: 'may be sent again, unless on behalf of a request that may not',
   never:
--- a/src/connection/bind_listener.ts
+++ b/src/connection/bind_listener.ts
@@ -3,7 +3,7 @@
  */
 import type {AddressInfo, Server} from 'node:net';
 import {describeError, TransportError} from '../base/errors.js';
-import {endpointText} from '../process/settings/endpoint_text.js';
+import {formatEndpoint} from '../process/settings/format_endpoint.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
 
 /** Connections that the system holds for the process to accept. */
@@ -16,7 +16,7 @@
 ): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', error => {
-      const peer = endpointText(endpoint);
+      const peer = formatEndpoint(endpoint);
       const message = `Cannot listen on ${peer}: ${describeError(error)}`;
       reject(new TransportError(message, {props: {step: 'listen', peer}}));
     });
@@ -32,7 +32,7 @@
  * that are left: their clients see a failure where they would have been told to
  * come back, and other nodes don't know whether a request that they sent has run.
  */
-export async function takeAccepted(): Promise<void> {
+export async function acceptPendingConnections(): Promise<void> {
   // The first ends the turn of now, which may be past taking connections; they
   // are taken in the whole turn between the two.
   await endOfTurn();
--- a/src/connection/rest_sender.ts
+++ b/src/connection/body_rest_sender.ts
@@ -11,29 +11,31 @@
  * Bytes under way to one reader: at 1,000 Mbit/s this covers a round trip of
  * two milliseconds, and at some hundred readers stays within a small node.
  */
-export const REST_WINDOW_BYTES = 262_144;
+export const BODY_REST_WINDOW_BYTES = 262_144;
 
 /** Sending side of one rest. */
-export interface RestSender {
+export interface BodyRestSender {
   /** The other side has passed on so many bytes. */
-  grant(bytes: number): void;
+  extendWindow(bytes: number): void;
   /** The rest is no longer wanted. */
   stop(): void;
 }
 
 /** What a sender needs. */
-export interface RestSenderOptions {
+export interface BodyRestSenderOptions {
   readonly connection: FrameConnection;
   readonly channelId: number;
-  readonly rest: Readable;
+  readonly bodyRest: Readable;
   /** Called once, when all has been sent or it broke off. */
   readonly onEnd: () => void;
 }
 
 /** Starts sending. */
-export function startRestSender(options: RestSenderOptions): RestSender {
-  const {connection, channelId, rest} = options;
-  let windowBytes = REST_WINDOW_BYTES;
+export function startBodyRestSender(
+  options: BodyRestSenderOptions,
+): BodyRestSender {
+  const {connection, channelId, bodyRest} = options;
+  let windowBytes = BODY_REST_WINDOW_BYTES;
   let isEnded = false;
 
   const end = (): void => {
@@ -41,32 +43,32 @@
     isEnded = true;
     options.onEnd();
   };
-  rest.on('data', (chunk: Buffer) => {
+  bodyRest.on('data', (chunk: Buffer) => {
     connection.send(FRAME_KIND.data, channelId, chunk);
     windowBytes -= chunk.length;
-    if (windowBytes <= 0) rest.pause();
+    if (windowBytes <= 0) bodyRest.pause();
   });
-  rest.on('end', () => {
+  bodyRest.on('end', () => {
     if (!isEnded) connection.send(FRAME_KIND.dataEnd, channelId);
     end();
   });
-  rest.on('error', () => {
+  bodyRest.on('error', () => {
     // The close that follows informs the receiver.
   });
-  rest.on('close', () => {
+  bodyRest.on('close', () => {
     // A rest that closes before its end broke off, and must not look complete.
     if (!isEnded) connection.send(FRAME_KIND.broken, channelId);
     end();
   });
-  rest.resume();
+  bodyRest.resume();
   return {
-    grant: bytes => {
+    extendWindow: bytes => {
       windowBytes += bytes;
-      if (windowBytes > 0) rest.resume();
+      if (windowBytes > 0) bodyRest.resume();
     },
     stop: () => {
       end();
-      rest.destroy();
+      bodyRest.destroy();
     },
   };
 }
--- a/src/connection/crash_report_sender.ts
+++ b/src/connection/crash_report_sender.ts
@@ -21,7 +21,7 @@
 ): void {
   const connection = openFrameConnection(peer, {
     onConnected: NOTHING,
-    onHeard: NOTHING,
+    onDataReceived: NOTHING,
     onFrame: ({kind, payload}) => {
       if (kind === FRAME_KIND.crashes) onAnswer(payload);
       // The answer to the ping, behind that to the report if there is one.
--- a/src/connection/document_follower.ts
+++ b/src/connection/document_follower.ts
@@ -7,22 +7,22 @@
 import * as Effect from 'effect/Effect';
 import {describeError} from '../base/errors.js';
 import type {
-  DocumentRead,
+  DocumentBatch,
   DocumentSource,
   SourcePosition,
 } from '../process/membership/document_source.js';
-import type {FollowPace} from '../process/membership/follow_pace.js';
+import type {FollowerPacing} from '../process/membership/follower_pacing.js';
 import type {PeerPositions} from '../process/membership/peer_positions.js';
-import type {FollowStateOptions} from './follow_state.js';
-import {createFollowState} from './follow_state.js';
-import {followRelay, RELAY_MILLIS} from './relay_follower.js';
+import type {FollowerStateOptions} from './follower_state.js';
+import {createFollowerState} from './follower_state.js';
+import {followRelay, RELAY_POLL_INTERVAL_MILLIS} from './relay_follower.js';
 import {waitForStalePosition} from './wait_for_stale_position.js';
 
 /** What a follower needs. */
-export interface DocumentFollowerOptions extends FollowStateOptions {
+export interface DocumentFollowerOptions extends FollowerStateOptions {
   readonly source: DocumentSource;
   readonly prefix: string;
-  readonly pace: FollowPace;
+  readonly pace: FollowerPacing;
 }
 
 /**
@@ -39,21 +39,21 @@
 const RELAYED_RETRY_MILLIS = 3000;
 
 /** How a watch ended. */
-type WatchEnd = DocumentRead | 'history-lost' | 'stale';
+type WatchEnd = DocumentBatch | 'history-lost' | 'stale';
 
 /** Follows the documents until interrupted. */
 export function followDocuments(
   options: DocumentFollowerOptions,
 ): Effect.Effect<never> {
   const {source, prefix, pace, peerPositions, relay, nowMillis} = options;
-  const state = createFollowState(options);
+  const state = createFollowerState(options);
   /** When another node sent changes last. */
   let toldMillis = -Infinity;
 
   const answered = (): void => {
-    pace.noteAnswered();
-    state.noteReached();
-    state.noteSource(false);
+    pace.recordSuccess();
+    state.markReached();
+    state.setSourceLost(false);
   };
 
   /**
@@ -61,46 +61,46 @@
    * again costs a read each time; what is changed after one may gather as well,
    * and so may what a fleet publishes that has just started.
    */
-  const takeAll = (all: DocumentRead): number => {
+  const takeAll = (all: DocumentBatch): number => {
     const wasRead = state.position !== undefined;
     answered();
-    state.tellCall('read', all);
-    state.takeSnapshot(all);
+    state.reportCall('read', all);
+    state.applySnapshot(all);
     const isNews = !wasRead && all.documents.length > 0;
-    return isNews ? 0 : pace.gatherMillis();
+    return isNews ? 0 : pace.batchDelayMillis();
   };
 
   /** Returns the pause before the next call. */
   const takeWatch = (after: SourcePosition, end: WatchEnd): number => {
     if (end === 'stale') {
-      state.tellCall(end);
-      state.noteStale();
+      state.reportCall(end);
+      state.markStale();
       state.requireRead('once');
       return 0;
     }
     answered();
     if (end === 'history-lost') {
-      state.tellCall(end);
+      state.reportCall(end);
       state.requireRead('until-read');
       return 0;
     }
     // The same revision means another change now. A watch that went on from it
     // would never tell what was written below it since the source was restored.
     if (end.position.epoch !== after.epoch) {
-      state.tellCall('restored', end);
+      state.reportCall('restored', end);
       state.requireRead('until-read');
-      return pace.spreadMillis();
+      return pace.readJitterMillis();
     }
     const isUnchanged = end.documents.length === 0;
-    state.tellCall(isUnchanged ? 'unchanged' : 'changed', end);
-    state.takeChanges(after, end);
-    return isUnchanged ? 0 : pace.gatherMillis();
+    state.reportCall(isUnchanged ? 'unchanged' : 'changed', end);
+    state.applyChanges(after, end);
+    return isUnchanged ? 0 : pace.batchDelayMillis();
   };
 
   const watch = (after: SourcePosition): Effect.Effect<WatchEnd, unknown> => {
     const watched = Effect.tryPromise({
       try: signal =>
-        source.watch(prefix, after.revision, pace.watchWaitMillis(), signal),
+        source.watch(prefix, after.revision, pace.watchTimeoutMillis(), signal),
       catch: error => error,
     });
     // A node that has lost the source is behind, and asks again soon anyway.
@@ -110,9 +110,9 @@
 
   /** Makes the next call; returns the pause after it. */
   const step = Effect.suspend((): Effect.Effect<number, unknown> => {
-    if (state.isIdle) return Effect.as(state.untilWoken, 0);
+    if (state.isIdle) return Effect.as(state.untilNotIdle, 0);
     const after = state.position;
-    if (after !== undefined && state.readDue === 'no') {
+    if (after !== undefined && state.readRequirement === 'no') {
       state.beginCall(false);
       return Effect.flatMap(watch(after), end =>
         attempt(() => takeWatch(after, end)),
@@ -127,15 +127,15 @@
   });
 
   const failed = (error: unknown): number => {
-    state.tellCall('failed');
-    state.noteSource(true);
+    state.reportCall('failed');
+    state.setSourceLost(true);
     const now = nowMillis();
-    const pauseMillis = pace.retryMillis(now - state.askedMillis);
+    const pauseMillis = pace.retryDelayMillis(now - state.callStartedMillis);
     // A node that gets changes from others misses nothing.
-    if (now - toldMillis < 2 * RELAY_MILLIS) {
+    if (now - toldMillis < 2 * RELAY_POLL_INTERVAL_MILLIS) {
       return Math.max(pauseMillis, RELAYED_RETRY_MILLIS);
     }
-    state.noteLost(describeError(error));
+    state.markLost(describeError(error));
     return pauseMillis;
   };
 
@@ -147,12 +147,12 @@
     Effect.forever,
   );
   if (relay === undefined) return follow;
-  const onTold = (): void => {
+  const onResponse = (): void => {
     toldMillis = nowMillis();
   };
   return Effect.raceFirst(
     follow,
-    followRelay({relay, state, peerPositions, onTold, nowMillis}),
+    followRelay({relay, state, peerPositions, onResponse, nowMillis}),
   );
 }
 
--- a/src/connection/document_listener.ts
+++ b/src/connection/document_listener.ts
@@ -23,7 +23,7 @@
   | 'failed';
 
 /** How one call to the source ended. */
-export interface SourceCallEnd {
+export interface SourceCallResult {
   readonly call: SourceCall;
   /** Revision that a watch asked from; `undefined` for a read. */
   readonly afterRevision: number | undefined;
@@ -36,7 +36,7 @@
 /** Reports of a follower to its owner. */
 export interface DocumentListener {
   /** A call has ended; each one has its price. */
-  onCall(end: SourceCallEnd): void;
+  onCall(end: SourceCallResult): void;
   /** All documents of now; what is missing no longer exists. */
   onSnapshot(documents: readonly DocumentChange[], revision: number): void;
   onChanges(documents: readonly DocumentChange[], revision: number): void;
--- a/src/connection/execution.ts
+++ b/src/connection/execution.ts
@@ -6,7 +6,7 @@
 import type {CallOrigin} from '../process/repeats/in_flight_parents.js';
 import type {HopReason} from '../protocol/hop_messages.js';
 import type {RawHeaders} from './raw_headers.js';
-import type {ReceivedAnswer} from './received_answer.js';
+import type {ReceivedResponse} from './received_response.js';
 
 /** One attempt. */
 export interface ExecutionCall {
@@ -30,10 +30,10 @@
 }
 
 /** What came of an attempt. */
-export type ExecutionEnd =
+export type ExecutionResult =
   | {
       readonly kind: 'answered';
-      readonly answer: ReceivedAnswer;
+      readonly answer: ReceivedResponse;
       /** Calls that were made for the request, by service. */
       readonly calls: CallCounts;
       /** A call made for the request failed. */
--- a/src/connection/follow_state.ts
+++ b/src/connection/follower_state.ts
@@ -4,7 +4,7 @@
  */
 import * as Effect from 'effect/Effect';
 import type {
-  DocumentRead,
+  DocumentBatch,
   SourcePosition,
 } from '../process/membership/document_source.js';
 import {laterPosition} from '../process/membership/document_source.js';
@@ -13,7 +13,7 @@
 import type {DocumentListener, SourceCall} from './document_listener.js';
 
 /** Whether the next call has to be a read. */
-export type ReadDue =
+export type ReadRequirement =
   | 'no'
   /** The last position is still one to watch from if the read fails. */
   | 'once'
@@ -21,10 +21,10 @@
   | 'until-read';
 
 /** State of one follower. */
-export interface FollowState {
+export interface FollowerState {
   /** Up to which all is known; `undefined` before the first read. */
   readonly position: SourcePosition | undefined;
-  readonly readDue: ReadDue;
+  readonly readRequirement: ReadRequirement;
   /** A read is under way, and will bring what was known as it began. */
   readonly isReading: boolean;
   /** The last call failed. */
@@ -34,29 +34,33 @@
   /** Another node watches for this one, and nothing is due. */
   readonly isIdle: boolean;
   /** Ends when it may not be idle any more. */
-  readonly untilWoken: Effect.Effect<undefined>;
+  readonly untilNotIdle: Effect.Effect<undefined>;
   /** When the last call began. */
-  readonly askedMillis: number;
+  readonly callStartedMillis: number;
   /** Reports how a call ended; it began at the last one, or at another time. */
-  tellCall(call: SourceCall, answer?: DocumentRead, sinceMillis?: number): void;
+  reportCall(
+    call: SourceCall,
+    answer?: DocumentBatch,
+    sinceMillis?: number,
+  ): void;
   beginCall(isRead: boolean): void;
-  requireRead(due: ReadDue): void;
+  requireRead(due: ReadRequirement): void;
   setWatching(isWatching: boolean): void;
   /** The source answered, or did not. */
-  noteSource(isLost: boolean): void;
+  setSourceLost(isLost: boolean): void;
   /** A watch brings nothing, though other nodes know more. */
-  noteStale(): void;
+  markStale(): void;
   /** The source or another node answered. */
-  noteReached(): void;
+  markReached(): void;
   /** Neither does from now on. */
-  noteLost(reason: string): void;
-  takeSnapshot(all: DocumentRead): void;
+  markLost(reason: string): void;
+  applySnapshot(all: DocumentBatch): void;
   /** Takes changes that lead on from a position, which others may have overtaken. */
-  takeChanges(after: SourcePosition, read: DocumentRead): void;
+  applyChanges(after: SourcePosition, read: DocumentBatch): void;
 }
 
 /** What the state of a follower needs. */
-export interface FollowStateOptions {
+export interface FollowerStateOptions {
   readonly listener: DocumentListener;
   /** Later revisions that other nodes report; left out, none does. */
   readonly peerPositions?: PeerPositions | undefined;
@@ -66,10 +70,12 @@
 }
 
 /** Creates the state of a follower that knows nothing. */
-export function createFollowState(options: FollowStateOptions): FollowState {
+export function createFollowerState(
+  options: FollowerStateOptions,
+): FollowerState {
   const {listener, peerPositions, relay, nowMillis} = options;
   let position: SourcePosition | undefined;
-  let readDue: ReadDue = 'until-read';
+  let readDue: ReadRequirement = 'until-read';
   let isReading = false;
   let isSourceLost = false;
   let isWatching = relay === undefined;
@@ -84,14 +90,14 @@
 
   const noteDuty = (): void => {
     const isWell = position !== undefined && !isSourceLost && !isStale;
-    relay?.noteWatching(isWatching && isWell);
+    relay?.setWatching(isWatching && isWell);
   };
 
   return {
     get position() {
       return position;
     },
-    get readDue() {
+    get readRequirement() {
       return readDue;
     },
     get isReading() {
@@ -103,19 +109,19 @@
     get isLost() {
       return lostAtMillis !== undefined;
     },
-    get askedMillis() {
+    get callStartedMillis() {
       return askedMillis;
     },
     get isIdle() {
       return isIdle();
     },
-    untilWoken: Effect.callback<undefined>(resume => {
+    untilNotIdle: Effect.callback<undefined>(resume => {
       wake = () => {
         resume(Effect.succeed(undefined));
       };
       if (!isIdle()) wake();
     }),
-    tellCall: (call, answer, sinceMillis = askedMillis) => {
+    reportCall: (call, answer, sinceMillis = askedMillis) => {
       listener.onCall({
         call,
         afterRevision: call === 'read' ? undefined : position?.revision,
@@ -138,7 +144,7 @@
       noteDuty();
       if (!isIdle()) wake();
     },
-    noteSource: isLost => {
+    setSourceLost: isLost => {
       isReading = false;
       isSourceLost = isLost;
       isStale = false;
@@ -146,35 +152,35 @@
     },
     // Until the source answers, nodes that ask this one have to ask others: a
     // source that hangs is known to be lost only seconds later.
-    noteStale: () => {
+    markStale: () => {
       isStale = true;
       noteDuty();
     },
-    noteReached: () => {
+    markReached: () => {
       if (!isFirst && lostAtMillis === undefined) return;
       const lostMillis = nowMillis() - (lostAtMillis ?? nowMillis());
       isFirst = false;
       lostAtMillis = undefined;
       listener.onReached(lostMillis);
     },
-    noteLost: reason => {
+    markLost: reason => {
       if (lostAtMillis !== undefined || isFirst) return;
       lostAtMillis = nowMillis();
       listener.onLost(reason);
     },
-    takeSnapshot: all => {
+    applySnapshot: all => {
       const {documents, position: next} = all;
       if (position !== undefined && position.epoch !== next.epoch) {
         listener.onRestored(position, next);
       }
       listener.onSnapshot(documents, next.revision);
       position = next;
-      peerPositions?.noteRead(next);
-      relay?.noteRead(all);
+      peerPositions?.recordRead(next);
+      relay?.recordRead(all);
       readDue = 'no';
       noteDuty();
     },
-    takeChanges: (after, read) => {
+    applyChanges: (after, read) => {
       const before = position ?? after;
       const documents = read.documents.filter(
         ({revision}) => revision > before.revision,
@@ -183,8 +189,8 @@
       if (documents.length > 0) {
         listener.onChanges(documents, position.revision);
       }
-      peerPositions?.noteWatched(position);
-      relay?.noteChanges({documents, position});
+      peerPositions?.recordWatched(position);
+      relay?.recordChanges({documents, position});
     },
   };
 }
--- a/src/connection/frame_connection.ts
+++ b/src/connection/frame_connection.ts
@@ -21,7 +21,7 @@
 /** What a connection needs. */
 export interface FrameConnectionOptions {
   /** Bytes came in. */
-  readonly onHeard: () => void;
+  readonly onDataReceived: () => void;
   readonly onFrame: (frame: Frame) => void;
   /** Called once, when the connection has closed for whatever reason. */
   readonly onClosed: (reason: string) => void;
@@ -94,7 +94,7 @@
   const reader = createFrameReader(options.onFrame);
 
   const receive = (chunk: Buffer): void => {
-    options.onHeard();
+    options.onDataReceived();
     try {
       reader.push(chunk);
     } catch (error) {
--- a/src/connection/hop_link.ts
+++ b/src/connection/hop_connection.ts
@@ -6,25 +6,25 @@
 import {FRAME_KIND} from '../protocol/hop_frames.js';
 import type {ClaimState, LoadFields} from '../protocol/hop_messages.js';
 import {decodeLoads} from '../protocol/load_codec.js';
-import {decodeHopAnswer} from '../protocol/hop_answer_codec.js';
+import {decodeHopResponse} from '../protocol/hop_response_codec.js';
 import {openFrameConnection} from './frame_connection.js';
 import type {OutgoingHop} from './outgoing_hop.js';
-import type {ReceivedRest} from './received_rest.js';
-import {createReceivedRest} from './received_rest.js';
+import type {ReceivedBodyRest} from './received_body_rest.js';
+import {createReceivedBodyRest} from './received_body_rest.js';
 
 /** A connection to another node. */
-export interface HopLink {
+export interface HopConnection {
   /** Process at the other end; `undefined` until it has introduced itself. */
   readonly instanceId: string | undefined;
   /** Requests on it, and answers whose rest is under way. */
   readonly openCount: number;
-  readonly heardMillis: number;
+  readonly lastReceivedMillis: number;
   /** When the oldest request on it was sent; `undefined` if there is none. */
   readonly waitingSinceMillis: number | undefined;
   /** The process at the other end ends; nothing new may be sent. */
-  readonly isLeaving: boolean;
+  readonly isGoingAway: boolean;
   /** When it was used last. */
-  readonly usedMillis: number;
+  readonly lastUsedMillis: number;
   /** Requests on it that have no answer yet. */
   hops(): readonly OutgoingHop[];
   send(hop: OutgoingHop): void;
@@ -33,13 +33,13 @@
   /** Asks for a sign of life. */
   ping(): void;
   /** Sends a question; its first byte is its kind. */
-  ask(question: Buffer): void;
+  sendQuery(question: Buffer): void;
   /** Closes it and returns the requests that were on it. */
-  retire(): readonly OutgoingHop[];
+  closeAndTakeHops(): readonly OutgoingHop[];
 }
 
 /** Why a connection has closed. */
-export type LinkClose =
+export type HopConnectionCloseReason =
   /** It was never open. */
   | 'refused'
   | 'connect-timeout'
@@ -47,16 +47,19 @@
   | 'closed';
 
 /** What a connection needs. */
-export interface HopLinkOptions {
+export interface HopConnectionOptions {
   readonly peer: Endpoint;
   readonly nowMillis: () => number;
   /** The other end has introduced itself. */
   readonly onReady: () => void;
-  readonly onHeard: () => void;
+  readonly onDataReceived: () => void;
   readonly onLoads: (loads: readonly LoadFields[]) => void;
   readonly onChanges: (answer: Buffer) => void;
   /** Closed by the other end or the network, with the requests on it. */
-  readonly onClosed: (how: LinkClose, hops: readonly OutgoingHop[]) => void;
+  readonly onClosed: (
+    how: HopConnectionCloseReason,
+    hops: readonly OutgoingHop[],
+  ) => void;
 }
 
 /**
@@ -72,22 +75,24 @@
 const GRANT_LENGTH_BYTES = 4;
 
 /** Plain fields, which are read for each choice of a connection. */
-interface OwnLink extends HopLink {
+interface OwnLink extends HopConnection {
   instanceId: string | undefined;
   openCount: number;
-  heardMillis: number;
+  lastReceivedMillis: number;
   waitingSinceMillis: number | undefined;
-  isLeaving: boolean;
-  usedMillis: number;
+  isGoingAway: boolean;
+  lastUsedMillis: number;
 }
 
 interface Channel {
   readonly hop: OutgoingHop;
-  rest: ReceivedRest | undefined;
+  rest: ReceivedBodyRest | undefined;
 }
 
 /** Opens a connection; requests may be sent on it at once. */
-export function openHopLink(options: HopLinkOptions): HopLink {
+export function openHopConnection(
+  options: HopConnectionOptions,
+): HopConnection {
   const {peer, nowMillis} = options;
   const channels = new Map<number, Channel>();
   let channelsCount = 0;
@@ -102,7 +107,7 @@
 
   /** Only this side knows when nothing is on its way to a process that ends. */
   const endIfLeft = (): void => {
-    if (link.isLeaving && channels.size === 0) connection.end();
+    if (link.isGoingAway && channels.size === 0) connection.end();
   };
   const noteChannels = (): void => {
     link.openCount = channels.size;
@@ -119,11 +124,11 @@
     const channel: Channel = {hop, rest: undefined};
     channels.set(channelId, channel);
     noteChannels();
-    hop.release = () => {
+    hop.detach = () => {
       // Its answer has come, or its sender no longer waits.
       if (channel.rest === undefined) cancelChannel(channelId);
     };
-    link.usedMillis = nowMillis();
+    link.lastUsedMillis = nowMillis();
     return channelId;
   };
   const cancelChannel = (channelId: number): void => {
@@ -144,25 +149,25 @@
   const receiveAnswer = (channelId: number, payload: Buffer): void => {
     const channel = channels.get(channelId);
     if (channel === undefined) return;
-    const decoded = decodeHopAnswer(payload);
+    const decoded = decodeHopResponse(payload);
     if (decoded === undefined) {
       closeChannel(channelId);
-      channel.hop.lost('broken-answer');
+      channel.hop.fail('broken-answer');
       return;
     }
-    const {message: answer, body: start} = decoded;
+    const {message: answer, body: bodyStart} = decoded;
     const {message} = answer;
     if (message?.hasRest === true) channel.rest = openRest(channelId);
     else closeChannel(channelId);
     const received =
       message === undefined
         ? undefined
-        : {...message, start, rest: channel.rest?.stream};
-    channel.hop.answered(answer, received);
+        : {...message, bodyStart, bodyRest: channel.rest?.stream};
+    channel.hop.complete(answer, received);
   };
-  const openRest = (channelId: number): ReceivedRest =>
-    createReceivedRest({
-      grant: bytes => {
+  const openRest = (channelId: number): ReceivedBodyRest =>
+    createReceivedBodyRest({
+      extendWindow: bytes => {
         const payload = Buffer.allocUnsafe(GRANT_LENGTH_BYTES);
         payload.writeUInt32BE(bytes, 0);
         connection.send(FRAME_KIND.window, channelId, payload);
@@ -180,11 +185,11 @@
         return;
       case 'unknown':
         closeChannel(channelId);
-        hop.notRun('silent');
+        hop.failNotRun('silent');
         return;
       case 'gone':
         closeChannel(channelId);
-        hop.lost('connection-lost');
+        hop.fail('connection-lost');
     }
   };
   const endRest = (channelId: number, failure: string | undefined): void => {
@@ -205,7 +210,7 @@
         break;
       case FRAME_KIND.bodyWanted:
         if (channel === undefined) return;
-        channel.hop.noteSent();
+        channel.hop.markSent();
         sendBody(channelId, channel.hop);
         break;
       case FRAME_KIND.answer:
@@ -230,7 +235,7 @@
         options.onChanges(payload);
         break;
       case FRAME_KIND.goingAway:
-        link.isLeaving = true;
+        link.isGoingAway = true;
         endIfLeft();
         break;
       default:
@@ -243,7 +248,7 @@
         rest.fail('the connection was lost');
         continue;
       }
-      hop.release = () => undefined;
+      hop.detach = () => undefined;
       hops.push(hop);
     }
     channels.clear();
@@ -251,15 +256,15 @@
     return hops;
   };
   const connection = openFrameConnection(peer, {
-    onHeard: () => {
-      link.heardMillis = nowMillis();
-      options.onHeard();
+    onDataReceived: () => {
+      link.lastReceivedMillis = nowMillis();
+      options.onDataReceived();
     },
     onConnected: () => {
       clearTimeout(timer);
       isConnected = true;
       for (const {hop} of channels.values()) {
-        if (!hop.isBodyHeldBack) hop.noteSent();
+        if (!hop.isBodyHeldBack) hop.markSent();
       }
     },
     onFrame,
@@ -274,10 +279,10 @@
   const link: OwnLink = {
     instanceId: undefined,
     openCount: 0,
-    heardMillis: 0,
+    lastReceivedMillis: 0,
     waitingSinceMillis: undefined,
-    isLeaving: false,
-    usedMillis: nowMillis(),
+    isGoingAway: false,
+    lastUsedMillis: nowMillis(),
     hops: () =>
       [...channels.values()]
         .filter(channel => channel.rest === undefined)
@@ -288,7 +293,7 @@
       connection.send(FRAME_KIND.request, channelId, hop.request);
       if (hop.isBodyHeldBack) return;
       if (hop.body.length > 0) sendBody(channelId, hop);
-      if (isConnected) hop.noteSent();
+      if (isConnected) hop.markSent();
     },
     claim: hop => {
       const channelId = openChannel(hop);
@@ -297,11 +302,11 @@
     ping: () => {
       connection.send(FRAME_KIND.ping, 0);
     },
-    ask: question => {
-      link.usedMillis = nowMillis();
+    sendQuery: question => {
+      link.lastUsedMillis = nowMillis();
       connection.send(FRAME_KIND.ping, 0, question);
     },
-    retire: () => {
+    closeAndTakeHops: () => {
       isRetired = true;
       const hops = takeHops();
       connection.destroy();
--- a/src/connection/hop_listener.ts
+++ b/src/connection/hop_listener.ts
@@ -11,13 +11,17 @@
 import {isCrashReport} from '../protocol/crash_report_codec.js';
 import {isQuotaReport} from '../protocol/quota_codec.js';
 import {encodeLoads} from '../protocol/load_codec.js';
-import {encodeHopAnswer} from '../protocol/hop_answer_codec.js';
+import {encodeHopResponse} from '../protocol/hop_response_codec.js';
 import {decodeHopRequest} from '../protocol/hop_request_codec.js';
-import {bindListener, takeAccepted} from './bind_listener.js';
+import {bindListener, acceptPendingConnections} from './bind_listener.js';
 import type {FrameConnection} from './frame_connection.js';
 import {acceptFrameConnection} from './frame_connection.js';
-import type {HopArrival, HopChannel, OwnedArrival} from './hop_arrival.js';
-import {createHopArrival} from './hop_arrival.js';
+import type {
+  IncomingHop,
+  HopChannel,
+  ManagedIncomingHop,
+} from './incoming_hop.js';
+import {createIncomingHop} from './incoming_hop.js';
 
 /** What a listener is made of. */
 export interface HopListenerOptions {
@@ -27,11 +31,11 @@
   /** Bound on the body of a request. */
   readonly bodyBytes: () => number;
   /** Answers one request; must not reject. */
-  readonly handle: (arrival: HopArrival) => Promise<void>;
+  readonly handle: (arrival: IncomingHop) => Promise<void>;
   /** Loads for a node that asks for them. */
   readonly loads: () => readonly LoadFields[];
   /** Answers a question for changes; `undefined` if it is none. */
-  readonly answerQuestion: (question: Buffer) => Buffer | undefined;
+  readonly answerRelayQuery: (question: Buffer) => Buffer | undefined;
   /** Takes a report of crashes; returns one if the sender lacks any. */
   readonly receiveCrashReport: (report: Buffer) => Buffer | undefined;
   /** Answers a report of the use of quotas; `undefined` if it is none. */
@@ -62,7 +66,7 @@
 
 /** State that all connections of a listener share. */
 interface ListenerState {
-  readonly arrivals: ReturnType<typeof createHopRegistry<OwnedArrival>>;
+  readonly arrivals: ReturnType<typeof createHopRegistry<ManagedIncomingHop>>;
   busyCount: number;
   isClosing: boolean;
 }
@@ -72,7 +76,7 @@
   options: HopListenerOptions,
 ): Promise<HopListener> {
   const state: ListenerState = {
-    arrivals: createHopRegistry<OwnedArrival>(options.nowMillis),
+    arrivals: createHopRegistry<ManagedIncomingHop>(options.nowMillis),
     busyCount: 0,
     isClosing: false,
   };
@@ -91,7 +95,7 @@
     },
     close: async () => {
       state.isClosing = true;
-      await takeAccepted();
+      await acceptPendingConnections();
       await new Promise<void>(resolve => {
         server.close(() => {
           resolve();
@@ -108,14 +112,14 @@
   socket: Socket,
   onClosed: () => void,
 ): FrameConnection {
-  const channels = new Map<number, OwnedArrival>();
+  const channels = new Map<number, ManagedIncomingHop>();
   const peer = socket.remoteAddress ?? 'unknown';
   let reportedMillis = 0;
 
   const openChannel = (channelId: number): HopChannel => ({
     connection,
     channelId,
-    isReportDue: () => {
+    isLoadReportDue: () => {
       const now = options.nowMillis();
       if (now - reportedMillis < REPORT_MILLIS) return false;
       reportedMillis = now;
@@ -134,7 +138,7 @@
       return;
     }
     const {hopId} = decoded.message;
-    const arrival = createHopArrival({
+    const arrival = createIncomingHop({
       request: decoded.message,
       inlineBody: decoded.body,
       channel: openChannel(channelId),
@@ -175,7 +179,7 @@
       }
       return;
     }
-    const changes = options.answerQuestion(question);
+    const changes = options.answerRelayQuery(question);
     if (changes !== undefined) {
       connection.send(FRAME_KIND.changes, channelId, changes);
       return;
@@ -208,7 +212,7 @@
         arrival?.abandon();
         break;
       case FRAME_KIND.window:
-        arrival?.grant(payload.readUInt32BE(0));
+        arrival?.extendWindow(payload.readUInt32BE(0));
         break;
       case FRAME_KIND.ping:
         pong(channelId, payload);
@@ -222,7 +226,7 @@
     }
   };
   const connection: FrameConnection = acceptFrameConnection(socket, {
-    onHeard: NOTHING,
+    onDataReceived: NOTHING,
     onFrame,
     onClosed: () => {
       const left = [...channels.values()];
@@ -241,7 +245,7 @@
 }
 
 function refuse(connection: FrameConnection, channelId: number): void {
-  const payload = encodeHopAnswer(
+  const payload = encodeHopResponse(
     {
       outcome: 'refused',
       reason: 'silent',
--- a/src/connection/hop_peer.ts
+++ b/src/connection/hop_peer.ts
@@ -2,22 +2,25 @@
  * One other node: the connections to it, the choice among them, and the way of
  * a request from a lost connection to the next.
  */
-import type {ReplyBound} from '../process/membership/reply_bound.js';
-import {createReplyBound} from '../process/membership/reply_bound.js';
+import type {ReplyTimeout} from '../process/membership/reply_timeout.js';
+import {createReplyTimeout} from '../process/membership/reply_timeout.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
 import type {LoadFields} from '../protocol/hop_messages.js';
-import type {HopLink, LinkClose} from './hop_link.js';
-import {openHopLink} from './hop_link.js';
+import type {
+  HopConnection,
+  HopConnectionCloseReason,
+} from './hop_connection.js';
+import {openHopConnection} from './hop_connection.js';
 import type {OutgoingHop} from './outgoing_hop.js';
-import type {WatchedPeer} from './peer_watch.js';
+import type {MonitoredPeer} from './peer_monitor.js';
 
 /** Another node as requests are sent to it. */
-export interface HopPeer extends WatchedPeer {
+export interface HopPeer extends MonitoredPeer {
   send(hop: OutgoingHop): void;
   /** Sends a question; its first byte is its kind. */
-  ask(question: Buffer): void;
+  sendQuery(question: Buffer): void;
   /** Closes connections that have not been used for a while. */
-  expire(): void;
+  closeIdleConnections(): void;
   dispose(): void;
 }
 
@@ -25,12 +28,12 @@
 export interface HopPeerOptions {
   readonly endpoint: Endpoint;
   readonly nowMillis: () => number;
-  readonly replyBound?: ReplyBound;
-  readonly onHeard: () => void;
+  readonly replyBound?: ReplyTimeout;
+  readonly onDataReceived: () => void;
   readonly onLoads: (loads: readonly LoadFields[]) => void;
   readonly onChanges: (answer: Buffer) => void;
   /** So many requests went on after their connection was lost. */
-  readonly onReplaced: (hopsCount: number) => void;
+  readonly onHopsResumed: (hopsCount: number) => void;
 }
 
 /**
@@ -58,24 +61,24 @@
 const NOTHING = (): void => undefined;
 
 /** What came of opening a fresh connection. */
-type Fresh = HopLink | 'refused' | 'silent';
+type Fresh = HopConnection | 'refused' | 'silent';
 
 /** Creates a peer without connections. */
 export function createHopPeer(options: HopPeerOptions): HopPeer {
-  const {endpoint, nowMillis, replyBound = createReplyBound()} = options;
-  const links = new Set<HopLink>();
+  const {endpoint, nowMillis, replyBound = createReplyTimeout()} = options;
+  const links = new Set<HopConnection>();
   const stranded = new Set<OutgoingHop>();
   let opening: Promise<Fresh> | undefined;
 
   const open = (
     onReady: () => void,
-    onFailed: (how: LinkClose) => void,
-  ): HopLink => {
-    const link = openHopLink({
+    onFailed: (how: HopConnectionCloseReason) => void,
+  ): HopConnection => {
+    const link = openHopConnection({
       peer: endpoint,
       nowMillis,
       onReady,
-      onHeard: options.onHeard,
+      onDataReceived: options.onDataReceived,
       onLoads: options.onLoads,
       onChanges: options.onChanges,
       onClosed: (how, hops) => {
@@ -86,13 +89,13 @@
     });
     return link;
   };
-  const openForHops = (): HopLink => {
+  const openForHops = (): HopConnection => {
     const link = open(NOTHING, NOTHING);
     links.add(link);
     return link;
   };
   const continueAfter = (
-    how: LinkClose,
+    how: HopConnectionCloseReason,
     hops: readonly OutgoingHop[],
   ): void => {
     if (hops.length === 0) return;
@@ -100,7 +103,7 @@
       void goOn(hops);
       return;
     }
-    for (const hop of hops) hop.lost('unreachable');
+    for (const hop of hops) hop.fail('unreachable');
   };
 
   /** Goes on with requests on a fresh connection to the same process. */
@@ -113,14 +116,14 @@
       else if (fresh === 'refused') settle(hop);
       else if (fresh !== 'silent') claim(fresh, hop);
     }
-    if (typeof fresh !== 'string') options.onReplaced(hops.length);
+    if (typeof fresh !== 'string') options.onHopsResumed(hops.length);
   };
   /** The process that had it has ended, so the outcome is unknown. */
   const settle = (hop: OutgoingHop): void => {
     stranded.delete(hop);
-    hop.lost('connection-lost');
+    hop.fail('connection-lost');
   };
-  const claim = (fresh: HopLink, hop: OutgoingHop): void => {
+  const claim = (fresh: HopConnection, hop: OutgoingHop): void => {
     if (hop.instanceId === fresh.instanceId) {
       stranded.delete(hop);
       fresh.claim(hop);
@@ -138,7 +141,7 @@
   };
   const openFirst = (count: number): Promise<Fresh> =>
     new Promise(resolve => {
-      const trials = new Set<HopLink>();
+      const trials = new Set<HopConnection>();
       const askedMillis = nowMillis();
       let isSettled = false;
       const finish = (how: Fresh): void => {
@@ -146,7 +149,7 @@
         isSettled = true;
         clearTimeout(timer);
         for (const trial of trials) {
-          if (trial !== how) trial.retire();
+          if (trial !== how) trial.closeAndTakeHops();
         }
         if (typeof how !== 'string') links.add(how);
         resolve(how);
@@ -170,10 +173,10 @@
       }
     });
 
-  const chooseLink = (): HopLink => {
-    let best: HopLink | undefined;
+  const chooseLink = (): HopConnection => {
+    let best: HopConnection | undefined;
     for (const link of links) {
-      if (link.isLeaving) continue;
+      if (link.isGoingAway) continue;
       if (best === undefined || isBetter(link, best)) best = link;
     }
     if (best === undefined) return openForHops();
@@ -185,63 +188,63 @@
   return {
     endpoint,
     connections: () => [...links],
-    get strandedCount() {
+    get detachedHopsCount() {
       return stranded.size;
     },
     send: hop => {
       chooseLink().send(hop);
     },
-    ask: question => {
-      chooseLink().ask(question);
+    sendQuery: question => {
+      chooseLink().sendQuery(question);
     },
-    verify: async isUrgent => {
+    probe: async isUrgent => {
       const fresh = await openFresh(isUrgent);
       return typeof fresh !== 'string';
     },
-    replaceSilent: sinceMillis => {
+    replaceSilentConnections: sinceMillis => {
       const hops: OutgoingHop[] = [...stranded];
       for (const link of [...links]) {
         if (link.waitingSinceMillis === undefined) continue;
-        if (link.heardMillis >= sinceMillis) continue;
+        if (link.lastReceivedMillis >= sinceMillis) continue;
         if (link.waitingSinceMillis >= sinceMillis) continue;
         links.delete(link);
-        hops.push(...link.retire());
+        hops.push(...link.closeAndTakeHops());
       }
       if (hops.length > 0) void goOn(hops);
     },
-    giveUp: () => {
+    failResendableHops: () => {
       const open = [...stranded];
       for (const link of links) open.push(...link.hops());
-      const expendable = open.filter(hop => hop.isExpendable);
+      const expendable = open.filter(hop => hop.isResendable);
       for (const hop of expendable) {
         stranded.delete(hop);
-        hop.lost('silent');
+        hop.fail('silent');
       }
       return expendable.length;
     },
-    expire: () => {
+    closeIdleConnections: () => {
       const sinceMillis = nowMillis() - MAX_IDLE_MILLIS;
       for (const hop of stranded) {
         if (!hop.isOpen) stranded.delete(hop);
       }
       for (const link of [...links]) {
-        if (link.openCount > 0 || link.usedMillis > sinceMillis) continue;
+        if (link.openCount > 0 || link.lastUsedMillis > sinceMillis) continue;
         links.delete(link);
-        link.retire();
+        link.closeAndTakeHops();
       }
     },
     dispose: () => {
-      for (const link of [...links]) link.retire();
+      for (const link of [...links]) link.closeAndTakeHops();
       links.clear();
     },
   };
 }
 
 /** Ready ones first, then those with fewer requests, then the last used. */
-function isBetter(link: HopLink, best: HopLink): boolean {
+function isBetter(link: HopConnection, best: HopConnection): boolean {
   const isReady = link.instanceId !== undefined;
   const isBestReady = best.instanceId !== undefined;
   if (isReady !== isBestReady) return isReady;
   if (link.openCount !== best.openCount) return link.openCount < best.openCount;
-  return link.usedMillis > best.usedMillis;
+  return link.lastUsedMillis > best.lastUsedMillis;
 }
--- a/src/connection/node_listener.ts
+++ b/src/connection/http_listener.ts
@@ -7,20 +7,20 @@
 import type {CancelSignal, CancelSource} from '../base/cancel_signal.js';
 import {createCancelSource} from '../base/cancel_signal.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
-import {bindListener, takeAccepted} from './bind_listener.js';
+import {bindListener, acceptPendingConnections} from './bind_listener.js';
 
 /** One request with the response that answers it. */
-export interface Exchange {
+export interface HttpExchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   /** Cancelled when the connection closes before the answer has ended. */
   readonly cancel: CancelSignal;
   /** The sender holds the body back until it is asked for. */
-  readonly isBodyHeldBack: boolean;
+  readonly expectsContinue: boolean;
   /** Nothing behind it has been read on its connection, whose end loses nothing. */
-  isLastRead(): boolean;
+  isNewestOnConnection(): boolean;
   /** Its answer ends the connection: what comes behind it is not handled. */
-  endConnection(): void;
+  ignoreFurtherRequests(): void;
 }
 
 /** One connection of a client. */
@@ -33,23 +33,23 @@
 }
 
 /** What a listener is made of. */
-export interface NodeListenerOptions {
+export interface HttpListenerOptions {
   readonly endpoint: Endpoint;
   /** Answers one request; must not reject. */
-  readonly handle: (exchange: Exchange) => Promise<void>;
+  readonly handle: (exchange: HttpExchange) => Promise<void>;
 }
 
 /** An open listener. */
-export interface NodeListener {
+export interface HttpListener {
   readonly port: number;
   /** Requests that were read and not yet answered. */
   readonly busyCount: number;
   /** How long idle connections stay open, and how slow headers may be. */
-  setLimits(idleMillis: number, headerMillis: number): void;
+  setTimeouts(idleMillis: number, headerMillis: number): void;
   /** Accepts nothing more; resolves when the last connection has ended. */
   close(): Promise<void>;
   /** The process ends: resets each connection with an answer under way. */
-  cutOff(): void;
+  resetUnfinished(): void;
 }
 
 /**
@@ -63,9 +63,9 @@
 const HEADER_BYTES = 65_536;
 
 /** Opens a listener; rejects if the address cannot be bound. */
-export async function openNodeListener(
-  options: NodeListenerOptions,
-): Promise<NodeListener> {
+export async function openHttpListener(
+  options: HttpListenerOptions,
+): Promise<HttpListener> {
   const server = createServer({
     keepAliveTimeout: IDLE_MILLIS,
     headersTimeout: HEADER_MILLIS,
@@ -92,7 +92,7 @@
   const accept = (
     request: IncomingMessage,
     response: ServerResponse,
-    isBodyHeldBack: boolean,
+    expectsContinue: boolean,
   ): void => {
     const connection = connectionOf(request.socket);
     if (connection.isEnding) {
@@ -128,9 +128,9 @@
       request,
       response,
       cancel: source.signal,
-      isBodyHeldBack,
-      isLastRead: () => connection.newest === response,
-      endConnection: () => {
+      expectsContinue,
+      isNewestOnConnection: () => connection.newest === response,
+      ignoreFurtherRequests: () => {
         connection.isEnding = true;
       },
     });
@@ -148,12 +148,12 @@
     get busyCount() {
       return busyCount;
     },
-    setLimits: (idleMillis, headerMillis) => {
+    setTimeouts: (idleMillis, headerMillis) => {
       server.keepAliveTimeout = idleMillis;
       server.headersTimeout = headerMillis;
     },
     close: async () => {
-      await takeAccepted();
+      await acceptPendingConnections();
       await new Promise<void>(resolve => {
         server.close(() => {
           resolve();
@@ -163,7 +163,7 @@
     },
     // Closed by the end of the process, a connection would end in good order, and
     // part of an answer without a length would look whole to its client.
-    cutOff: () => {
+    resetUnfinished: () => {
       for (const [socket, {newest}] of connections) {
         if (newest?.writableFinished === false) socket.resetAndDestroy();
       }
--- a/src/connection/hop_arrival.ts
+++ b/src/connection/incoming_hop.ts
@@ -5,46 +5,46 @@
 import type {CancelSignal} from '../base/cancel_signal.js';
 import {createCancelSource} from '../base/cancel_signal.js';
 import {FRAME_KIND} from '../protocol/hop_frames.js';
-import type {HopAnswer, HopRequest} from '../protocol/hop_messages.js';
-import {encodeHopAnswer} from '../protocol/hop_answer_codec.js';
+import type {HopResponse, HopRequest} from '../protocol/hop_messages.js';
+import {encodeHopResponse} from '../protocol/hop_response_codec.js';
 import type {FrameConnection} from './frame_connection.js';
 import {withoutConnectionHeaders} from './raw_headers.js';
-import type {ReceivedAnswer} from './received_answer.js';
-import type {RestSender} from './rest_sender.js';
-import {startRestSender} from './rest_sender.js';
+import type {ReceivedResponse} from './received_response.js';
+import type {BodyRestSender} from './body_rest_sender.js';
+import {startBodyRestSender} from './body_rest_sender.js';
 
 /** Where a request came from, or its sender came back. */
 export interface HopChannel {
   readonly connection: FrameConnection;
   readonly channelId: number;
   /** Loads of other upstreams have not been sent here for a while. */
-  isReportDue(): boolean;
+  isLoadReportDue(): boolean;
   /** Nothing more is sent on the channel. */
   close(): void;
 }
 
 /** What came of a request here. */
-export interface ArrivalEnd {
-  readonly answer: Omit<HopAnswer, 'message'>;
+export interface IncomingHopResult {
+  readonly answer: Omit<HopResponse, 'message'>;
   /** The upstream's answer, if it gave one. */
-  readonly received: ReceivedAnswer | undefined;
+  readonly received: ReceivedResponse | undefined;
 }
 
 /** A request as its handler sees it. */
-export interface HopArrival {
+export interface IncomingHop {
   readonly request: HopRequest;
   /** Cancelled when its sender does not want it any more. */
   readonly cancel: CancelSignal;
   /** The whole body, asked for if it was held back; `undefined` if it never comes. */
   fetchBody(): Buffer | undefined | Promise<Buffer | undefined>;
   /** Loads of other upstreams are to go with the answer. */
-  isReportDue(): boolean;
+  isLoadReportDue(): boolean;
   /** Answers; called once. */
-  answer(end: ArrivalEnd): void;
+  answer(end: IncomingHopResult): void;
 }
 
 /** A request as its listener sees it. */
-export interface OwnedArrival extends HopArrival {
+export interface ManagedIncomingHop extends IncomingHop {
   /** Its sender goes on with it on this channel. */
   attach(channel: HopChannel): void;
   /** A connection was lost; ignored if its sender has reconnected. */
@@ -53,11 +53,11 @@
   abandon(): void;
   receiveBody(piece: Buffer, isLast: boolean): void;
   /** The receiver of the rest has passed on so many bytes. */
-  grant(bytes: number): void;
+  extendWindow(bytes: number): void;
 }
 
 /** What an arrival needs. */
-export interface HopArrivalOptions {
+export interface IncomingHopOptions {
   readonly request: HopRequest;
   readonly inlineBody: Buffer;
   readonly channel: HopChannel;
@@ -77,13 +77,15 @@
 const NOTHING = Buffer.alloc(0);
 
 /** Creates the record of an arrival. */
-export function createHopArrival(options: HopArrivalOptions): OwnedArrival {
+export function createIncomingHop(
+  options: IncomingHopOptions,
+): ManagedIncomingHop {
   const {request} = options;
   const source = createCancelSource();
   let channel: HopChannel | undefined = options.channel;
   let orphanTimer: NodeJS.Timeout | undefined;
   let keptAnswer: Buffer | undefined;
-  let sender: RestSender | undefined;
+  let sender: BodyRestSender | undefined;
   let isAnswered = false;
   let pieces: Buffer[] = [options.inlineBody];
   let isBodyWhole = request.bodyForm === 'inline';
@@ -108,18 +110,18 @@
   const sendAnswer = (payload: Buffer): void => {
     channel?.connection.send(FRAME_KIND.answer, channel.channelId, payload);
   };
-  const sendRest = (received: ReceivedAnswer): void => {
-    const {rest} = received;
-    if (rest === undefined) return;
+  const sendRest = (received: ReceivedResponse): void => {
+    const {bodyRest} = received;
+    if (bodyRest === undefined) return;
     if (channel === undefined) {
-      rest.destroy();
+      bodyRest.destroy();
       options.onDone();
       return;
     }
-    sender = startRestSender({
+    sender = startBodyRestSender({
       connection: channel.connection,
       channelId: channel.channelId,
-      rest,
+      bodyRest,
       onEnd: () => {
         leaveChannel();
         options.onDone();
@@ -138,16 +140,16 @@
         if (!isBodyWanted) wantBody();
       });
     },
-    isReportDue: () => channel?.isReportDue() ?? false,
+    isLoadReportDue: () => channel?.isLoadReportDue() ?? false,
     answer: ({answer, received}) => {
       isAnswered = true;
       clearTimeout(orphanTimer);
-      const payload = encodeHopAnswer(
+      const payload = encodeHopResponse(
         {...answer, message: messageOf(received)},
-        received?.start ?? NOTHING,
+        received?.bodyStart ?? NOTHING,
       );
       sendAnswer(payload);
-      if (received?.rest !== undefined) {
+      if (received?.bodyRest !== undefined) {
         options.onAnswered(0);
         sendRest(received);
         return;
@@ -189,8 +191,8 @@
       isBodyWhole = true;
       giveBody(joined(pieces));
     },
-    grant: bytes => {
-      sender?.grant(bytes);
+    extendWindow: bytes => {
+      sender?.extendWindow(bytes);
     },
   };
 }
@@ -205,12 +207,14 @@
   return pieces.reduce((sum, piece) => sum + piece.length, 0);
 }
 
-function messageOf(received: ReceivedAnswer | undefined): HopAnswer['message'] {
+function messageOf(
+  received: ReceivedResponse | undefined,
+): HopResponse['message'] {
   if (received === undefined) return undefined;
   return {
     statusCode: received.statusCode,
     headers: withoutConnectionHeaders(received.headers),
     isUnframed: received.isUnframed,
-    hasRest: received.rest !== undefined,
+    hasRest: received.bodyRest !== undefined,
   };
 }
--- a/src/connection/kept_connections.ts
+++ b/src/connection/keep_alive_agent.ts
@@ -6,7 +6,7 @@
 import type {Endpoint} from '../process/settings/node_settings.js';
 
 /** How long idle connections are kept. */
-export interface KeptConnectionsOptions {
+export interface KeepAliveAgentOptions {
   readonly maxIdleMillis: number;
   readonly maxSocketsCount: number;
 }
@@ -24,7 +24,7 @@
  * Closes the idle connections to one address. Where one connection fell silent
  * without a word, those that are idle most likely did as well.
  */
-export function dropIdleConnections(agent: http.Agent, to: Endpoint): void {
+export function closeIdleConnections(agent: http.Agent, to: Endpoint): void {
   const name = agent.getName({host: to.address, port: to.port});
   for (const socket of agent.freeSockets[name] ?? []) socket.destroy();
 }
@@ -33,8 +33,8 @@
 type PooledSocket = Socket & {readonly _httpMessage?: LastMessage};
 
 /** Creates a pool; the most recently used connection is used first. */
-export function createKeptConnections(
-  options: KeptConnectionsOptions,
+export function createKeepAliveAgent(
+  options: KeepAliveAgentOptions,
 ): http.Agent {
   return new (class extends http.Agent {
     /**
--- a/src/connection/operator_listener.ts
+++ b/src/connection/operator_listener.ts
@@ -17,17 +17,18 @@
   /** Sections of the state, by name. */
   state(): Readonly<Record<string, unknown>>;
   /** The configuration in force, as published. */
-  configuration(): ShownConfiguration | undefined;
+  configuration(): PublishedConfiguration | undefined;
 }
 
 /** A configuration as shown. */
-export interface ShownConfiguration {
+export interface PublishedConfiguration {
   readonly version: number;
   readonly document: string;
 }
 
 /** Header of the version of a configuration that is shown. */
-export const VERSION_HEADER = 'fulmarhollow-configuration-version';
+export const CONFIGURATION_VERSION_HEADER =
+  'fulmarhollow-configuration-version';
 
 const STATE_SECTION_PREFIX = '/state/';
 const PATHS =
@@ -104,7 +105,7 @@
   response.writeHead(200, {
     'content-type': 'application/json',
     etag: `"${digest}"`,
-    [VERSION_HEADER]: String(shown.version),
+    [CONFIGURATION_VERSION_HEADER]: String(shown.version),
   });
   response.end(shown.document);
 }
--- a/src/connection/outgoing_hop.ts
+++ b/src/connection/outgoing_hop.ts
@@ -2,25 +2,25 @@
  * A request on its way to another node, wherever its connection is.
  */
 import {randomBytes} from 'node:crypto';
-import type {HopAnswer, HopRequest} from '../protocol/hop_messages.js';
+import type {HopResponse, HopRequest} from '../protocol/hop_messages.js';
 import {encodeHopRequest} from '../protocol/hop_request_codec.js';
-import type {ReceivedAnswer} from './received_answer.js';
+import type {ReceivedResponse} from './received_response.js';
 
 /** How a hop ended. */
-export type HopEnd =
+export type HopResult =
   | {
       readonly kind: 'answer';
-      readonly answer: HopAnswer;
+      readonly answer: HopResponse;
       /** The upstream's answer, if it gave one. */
-      readonly received: ReceivedAnswer | undefined;
+      readonly received: ReceivedResponse | undefined;
     }
   /** The other node has not received all of it and never will. */
-  | {readonly kind: 'not-run'; readonly reason: HopLoss}
+  | {readonly kind: 'not-run'; readonly reason: HopFailureReason}
   /** It may have run. */
-  | {readonly kind: 'lost'; readonly reason: HopLoss};
+  | {readonly kind: 'lost'; readonly reason: HopFailureReason};
 
 /** Why a hop ended without an answer. */
-export type HopLoss =
+export type HopFailureReason =
   'cancelled' | 'unreachable' | 'silent' | 'connection-lost' | 'broken-answer';
 
 /** A hop as connections see it. */
@@ -35,19 +35,19 @@
   /** It has not ended. */
   readonly isOpen: boolean;
   /** Sent elsewhere as well it could do no harm. */
-  readonly isExpendable: boolean;
+  readonly isResendable: boolean;
   /** All of it is on its way: from here on it may run. */
-  noteSent(): void;
+  markSent(): void;
   /** Process that it was sent to; only this one knows what became of it. */
   instanceId: string | undefined;
   /** Takes it off its connection; set by the connection that it is on. */
-  release: () => void;
+  detach: () => void;
   /** Ends with an answer. */
-  answered(answer: HopAnswer, received: ReceivedAnswer | undefined): void;
+  complete(answer: HopResponse, received: ReceivedResponse | undefined): void;
   /** Ends as not run. */
-  notRun(reason: HopLoss): void;
+  failNotRun(reason: HopFailureReason): void;
   /** Ends without an answer: as not run if not all of it was sent. */
-  lost(reason: HopLoss): void;
+  fail(reason: HopFailureReason): void;
 }
 
 /** What a hop is made of. */
@@ -55,13 +55,13 @@
   readonly request: Omit<HopRequest, 'hopId' | 'bodyForm'>;
   readonly body: Buffer;
   readonly startedMillis: number;
-  readonly onEnd: (end: HopEnd) => void;
+  readonly onEnd: (end: HopResult) => void;
 }
 
 /** Plain fields: an accessor in a literal makes each hop costly to create. */
 interface OwnHop extends OutgoingHop {
   isOpen: boolean;
-  isExpendable: boolean;
+  isResendable: boolean;
 }
 
 /** Bodies up to this size go along with the request; most fit in a packet. */
@@ -78,10 +78,10 @@
   const bodyForm = isInline ? 'inline' : isRepeatable ? 'follows' : 'held-back';
   let isSent = false;
 
-  const end = (how: HopEnd): void => {
+  const end = (how: HopResult): void => {
     if (!hop.isOpen) return;
     hop.isOpen = false;
-    hop.release();
+    hop.detach();
     options.onEnd(how);
   };
   const hop: OwnHop = {
@@ -94,20 +94,20 @@
     body: isInline ? NOTHING : body,
     isBodyHeldBack: bodyForm === 'held-back',
     isOpen: true,
-    isExpendable: true,
-    noteSent: () => {
+    isResendable: true,
+    markSent: () => {
       isSent = true;
-      hop.isExpendable = isRepeatable;
+      hop.isResendable = isRepeatable;
     },
     instanceId: undefined,
-    release: () => undefined,
-    answered: (answer, received) => {
+    detach: () => undefined,
+    complete: (answer, received) => {
       end({kind: 'answer', answer, received});
     },
-    notRun: reason => {
+    failNotRun: reason => {
       end({kind: 'not-run', reason});
     },
-    lost: reason => {
+    fail: reason => {
       end({kind: isSent ? 'lost' : 'not-run', reason});
     },
   };
--- a/src/connection/peer_watch.ts
+++ b/src/connection/peer_monitor.ts
@@ -10,13 +10,13 @@
  */
 import type {Disposable} from '../base/lifecycle.js';
 import {createIntervalTimer} from '../base/lifecycle.js';
-import type {ReplyBound} from '../process/membership/reply_bound.js';
-import {createReplyBound} from '../process/membership/reply_bound.js';
+import type {ReplyTimeout} from '../process/membership/reply_timeout.js';
+import {createReplyTimeout} from '../process/membership/reply_timeout.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
 
 /** A connection as the watch sees it. */
-export interface WatchedConnection {
-  readonly heardMillis: number;
+export interface MonitoredConnection {
+  readonly lastReceivedMillis: number;
   /** When the oldest request on it was sent; `undefined` if there is none. */
   readonly waitingSinceMillis: number | undefined;
   /** Asks for a sign of life. */
@@ -24,42 +24,42 @@
 }
 
 /** A node with its connections. */
-export interface WatchedPeer {
+export interface MonitoredPeer {
   readonly endpoint: Endpoint;
-  connections(): readonly WatchedConnection[];
+  connections(): readonly MonitoredConnection[];
   /** Requests whose connection is lost while the node does not reply. */
-  readonly strandedCount: number;
+  readonly detachedHopsCount: number;
   /**
    * Opens a fresh connection and returns whether the node replied on it. Urgent
    * questions must not fail because of one lost packet.
    */
-  verify(isUrgent: boolean): Promise<boolean>;
+  probe(isUrgent: boolean): Promise<boolean>;
   /**
    * The node replied: goes on elsewhere with the requests of connections that
    * have been silent since before, and with those stranded.
    */
-  replaceSilent(sinceMillis: number): void;
+  replaceSilentConnections(sinceMillis: number): void;
   /** Gives up what may be sent elsewhere; returns how many. */
-  giveUp(): number;
+  failResendableHops(): number;
 }
 
 /** Watches over nodes. */
-export interface PeerWatch extends Disposable {
-  add(peer: WatchedPeer): PeerSigns;
+export interface PeerMonitor extends Disposable {
+  add(peer: MonitoredPeer): PeerLiveness;
 }
 
 /** What is known of the life of one node. */
-export interface PeerSigns {
+export interface PeerLiveness {
   /** It did not reply when it was asked last. */
   readonly isLost: boolean;
   /** Something arrived from it. */
-  noteHeard(): void;
+  recordActivity(): void;
 }
 
 /** What a watch needs. */
-export interface PeerWatchOptions {
+export interface PeerMonitorOptions {
   readonly nowMillis: () => number;
-  readonly replyBound?: ReplyBound;
+  readonly replyBound?: ReplyTimeout;
   readonly onPeerLost: (endpoint: Endpoint, hopsCount: number) => void;
   readonly onPeerFound: (endpoint: Endpoint) => void;
 }
@@ -76,10 +76,10 @@
 const WITNESSES_COUNT = 3;
 
 interface PeerState {
-  readonly peer: WatchedPeer;
-  readonly pingedMillis: WeakMap<WatchedConnection, number>;
+  readonly peer: MonitoredPeer;
+  readonly pingedMillis: WeakMap<MonitoredConnection, number>;
   /** The last question on a connection that was replied to. */
-  readonly repliedMillis: WeakMap<WatchedConnection, number>;
+  readonly repliedMillis: WeakMap<MonitoredConnection, number>;
   heardMillis: number;
   askedMillis: number;
   isAsking: boolean;
@@ -89,16 +89,16 @@
 }
 
 /** Creates a watch without nodes. */
-export function createPeerWatch(options: PeerWatchOptions): PeerWatch {
+export function createPeerMonitor(options: PeerMonitorOptions): PeerMonitor {
   const states = new Set<PeerState>();
-  const {nowMillis, replyBound = createReplyBound()} = options;
+  const {nowMillis, replyBound = createReplyTimeout()} = options;
 
   const check = async (state: PeerState): Promise<void> => {
     const {peer} = state;
     state.isAsking = true;
     state.askedMillis = nowMillis();
     const askedMillis = state.askedMillis;
-    const hasReplied = await peer.verify(true);
+    const hasReplied = await peer.probe(true);
     const isSilent = !hasReplied && state.heardMillis < askedMillis;
     const isExcused =
       isSilent && !state.wasExcused && (await isOwnFault(state));
@@ -107,7 +107,7 @@
     if (isSilent && !isExcused) losePeer(state);
     if (!hasReplied) return;
     hear(state);
-    peer.replaceSilent(askedMillis - PING_MILLIS);
+    peer.replaceSilentConnections(askedMillis - PING_MILLIS);
   };
 
   /**
@@ -122,7 +122,7 @@
       .slice(0, WITNESSES_COUNT);
     if (others.length === 0) return false;
     const replies = await Promise.all(
-      others.map(other => other.peer.verify(false)),
+      others.map(other => other.peer.probe(false)),
     );
     return !replies.includes(true);
   };
@@ -130,7 +130,7 @@
   const losePeer = (state: PeerState): void => {
     const wasLost = state.isLost;
     state.isLost = true;
-    const givenUpCount = state.peer.giveUp();
+    const givenUpCount = state.peer.failResendableHops();
     if (wasLost) return;
     options.onPeerLost(state.peer.endpoint, givenUpCount);
   };
@@ -145,22 +145,22 @@
   /** What was heard first after a question is taken for its reply. */
   const learnReply = (
     {pingedMillis, repliedMillis}: PeerState,
-    connection: WatchedConnection,
+    connection: MonitoredConnection,
   ): void => {
     const askedMillis = pingedMillis.get(connection);
     if (askedMillis === undefined) return;
-    if (connection.heardMillis <= askedMillis) return;
+    if (connection.lastReceivedMillis <= askedMillis) return;
     if (repliedMillis.get(connection) === askedMillis) return;
     repliedMillis.set(connection, askedMillis);
-    replyBound.observe(connection.heardMillis - askedMillis);
+    replyBound.observe(connection.lastReceivedMillis - askedMillis);
   };
 
   const isSuspect = (state: PeerState, now: number): boolean => {
     let isSilent = false;
     for (const connection of state.peer.connections()) {
-      const {waitingSinceMillis, heardMillis} = connection;
+      const {waitingSinceMillis, lastReceivedMillis} = connection;
       if (waitingSinceMillis === undefined) continue;
-      const sinceMillis = Math.max(waitingSinceMillis, heardMillis);
+      const sinceMillis = Math.max(waitingSinceMillis, lastReceivedMillis);
       learnReply(state, connection);
       if (now - sinceMillis > replyBound.currentMillis()) isSilent = true;
       if (now - sinceMillis <= PING_MILLIS) continue;
@@ -175,7 +175,7 @@
   const isDue = (state: PeerState, now: number): boolean => {
     if (state.isAsking) return false;
     const isSoon = now - state.askedMillis <= LOST_ASK_MILLIS;
-    if (state.isLost || state.peer.strandedCount > 0) return !isSoon;
+    if (state.isLost || state.peer.detachedHopsCount > 0) return !isSoon;
     return isSuspect(state, now);
   };
 
@@ -203,7 +203,7 @@
         get isLost() {
           return state.isLost;
         },
-        noteHeard: () => {
+        recordActivity: () => {
           hear(state);
         },
       };
--- a/src/connection/question_links.ts
+++ b/src/connection/peer_query_client.ts
@@ -4,21 +4,21 @@
  * wait for a node that a partition has silenced.
  */
 import type {Disposable} from '../base/lifecycle.js';
-import {endpointText} from '../process/settings/endpoint_text.js';
+import {formatEndpoint} from '../process/settings/format_endpoint.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
 import {FRAME_KIND} from '../protocol/hop_frames.js';
 import type {FrameConnection} from './frame_connection.js';
 import {openFrameConnection} from './frame_connection.js';
 
 /** Links of one node. */
-export interface QuestionLinks extends Disposable {
-  ask(peer: Endpoint, question: Buffer): Promise<QuestionEnd>;
+export interface PeerQueryClient extends Disposable {
+  query(peer: Endpoint, question: Buffer): Promise<PeerQueryResult>;
   /** Closes connections that have not been used for a while. */
-  expire(): void;
+  closeIdleConnections(): void;
 }
 
 /** Payload of the answer, or why there is none. */
-export type QuestionEnd =
+export type PeerQueryResult =
   | Buffer
   /** Nothing came. */
   | 'silent'
@@ -26,9 +26,9 @@
   | 'closed';
 
 /** What links need. */
-export interface QuestionLinksOptions {
+export interface PeerQueryClientOptions {
   /** Kind of the frames that answer; any other one is no answer. */
-  readonly answerKind: number;
+  readonly responseKind: number;
   readonly nowMillis: () => number;
 }
 
@@ -41,22 +41,22 @@
 
 interface Link {
   readonly connection: FrameConnection;
-  readonly pending: Map<number, (end: QuestionEnd) => void>;
+  readonly pending: Map<number, (end: PeerQueryResult) => void>;
   usedMillis: number;
   lastChannelId: number;
 }
 
 /** Creates links without connections. */
-export function createQuestionLinks(
-  options: QuestionLinksOptions,
-): QuestionLinks {
+export function createPeerQueryClient(
+  options: PeerQueryClientOptions,
+): PeerQueryClient {
   const {nowMillis} = options;
   const links = new Map<string, Link>();
 
   const drop = (
     key: string,
     link: Link,
-    end: Extract<QuestionEnd, string>,
+    end: Extract<PeerQueryResult, string>,
   ): void => {
     if (links.get(key) === link) links.delete(key);
     const finishes = [...link.pending.values()];
@@ -68,14 +68,14 @@
     const link: Link = {
       connection: openFrameConnection(peer, {
         onConnected: NOTHING,
-        onHeard: NOTHING,
+        onDataReceived: NOTHING,
         onFrame: ({kind, channelId, payload}) => {
           if (kind === FRAME_KIND.goingAway) {
             link.connection.end();
             drop(key, link, 'closed');
             return;
           }
-          const isAnswer = kind === options.answerKind;
+          const isAnswer = kind === options.responseKind;
           link.pending.get(channelId)?.(isAnswer ? payload : 'closed');
         },
         onClosed: () => {
@@ -91,8 +91,8 @@
   };
 
   return {
-    ask: (peer, question) => {
-      const key = endpointText(peer);
+    query: (peer, question) => {
+      const key = formatEndpoint(peer);
       const link = links.get(key) ?? open(key, peer);
       link.usedMillis = nowMillis();
       link.lastChannelId += 1;
@@ -111,7 +111,7 @@
         link.connection.send(FRAME_KIND.ping, channelId, question);
       });
     },
-    expire: () => {
+    closeIdleConnections: () => {
       const sinceMillis = nowMillis() - MAX_IDLE_MILLIS;
       for (const [key, link] of links) {
         if (link.pending.size > 0 || link.usedMillis > sinceMillis) continue;
--- a/src/connection/peer_relay.ts
+++ b/src/connection/peer_relay.ts
@@ -4,38 +4,38 @@
  */
 import type {
   DocumentRelay,
-  RelayEnd,
+  RelayPollResult,
 } from '../process/membership/document_relay.js';
 import type {SourcePosition} from '../process/membership/document_source.js';
 import {isLaterPosition} from '../process/membership/document_source.js';
-import type {KnownDocuments} from '../process/membership/known_documents.js';
+import type {DocumentCache} from '../process/membership/document_cache.js';
 import type {UpstreamEntry} from '../process/membership/upstream_entry.js';
 import type {WatcherSelection} from '../process/membership/watcher_selection.js';
-import type {RelayAnswer} from '../protocol/relay_codec.js';
+import type {RelayResponse} from '../protocol/relay_codec.js';
 import {
-  decodeRelayAnswer,
-  decodeRelayQuestion,
-  encodeRelayAnswer,
-  encodeRelayQuestion,
+  decodeRelayResponse,
+  decodeRelayQuery,
+  encodeRelayResponse,
+  encodeRelayQuery,
 } from '../protocol/relay_codec.js';
 
 /** Both sides of one node. */
 export interface PeerRelay extends DocumentRelay {
   /** Answers a question; `undefined` if it is none. */
-  answer(question: Buffer): Buffer | undefined;
+  answerQuery(question: Buffer): Buffer | undefined;
 }
 
 /** What a relay needs. */
 export interface PeerRelayOptions {
   readonly selection: WatcherSelection;
-  readonly documents: KnownDocuments;
+  readonly documents: DocumentCache;
   /** Asks the node beside an upstream; `undefined` if it does not answer. */
   readonly send: (
     entry: UpstreamEntry,
     question: Buffer,
   ) => Promise<Buffer | undefined>;
   /** A question has ended. */
-  readonly onAsked?: (entry: UpstreamEntry, end: RelayEnd) => void;
+  readonly onPolled?: (entry: UpstreamEntry, end: RelayPollResult) => void;
 }
 
 /**
@@ -49,36 +49,37 @@
   const {selection, documents} = options;
   let isWatching = false;
   return {
-    ask: async (position, isSourceLost) => {
-      const turn = selection.next(isSourceLost);
+    poll: async (position, isSourceLost) => {
+      const turn = selection.decide(isSourceLost);
       if (turn.kind === 'watch') return 'watch';
       const {entry} = turn;
-      const reply = await options.send(entry, encodeRelayQuestion(position));
-      const answer = reply === undefined ? undefined : decodeRelayAnswer(reply);
+      const reply = await options.send(entry, encodeRelayQuery(position));
+      const answer =
+        reply === undefined ? undefined : decodeRelayResponse(reply);
       const end = endOf(position, answer);
-      if (end === 'failed') selection.noteFailed(entry);
-      else selection.noteAnswered();
-      options.onAsked?.(entry, end);
+      if (end === 'failed') selection.recordFailure(entry);
+      else selection.recordSuccess();
+      options.onPolled?.(entry, end);
       return end;
     },
-    answer: question => {
-      const asked = decodeRelayQuestion(question);
+    answerQuery: question => {
+      const asked = decodeRelayQuery(question);
       if (asked === undefined) return undefined;
       const answer = {position: documents.position, isWatching};
-      const changes = documents.since(asked);
-      const whole = encodeRelayAnswer({...answer, changes});
+      const changes = documents.changesSince(asked);
+      const whole = encodeRelayResponse({...answer, changes});
       if (whole.length <= MAX_ANSWER_BYTES) return whole;
-      return encodeRelayAnswer({...answer, changes: undefined});
+      return encodeRelayResponse({...answer, changes: undefined});
     },
-    noteWatching: next => {
+    setWatching: next => {
       isWatching = next;
     },
-    noteRead: documents.noteRead,
-    noteChanges: documents.noteChanges,
+    recordRead: documents.recordRead,
+    recordChanges: documents.recordChanges,
   };
 }
 
-function endOf(asked: SourcePosition, answer?: RelayAnswer): RelayEnd {
+function endOf(asked: SourcePosition, answer?: RelayResponse): RelayPollResult {
   // Two nodes that polled only each other would never learn of a change.
   if (answer?.isWatching !== true) return 'failed';
   const {position, changes} = answer;
--- a/src/connection/raw_headers.ts
+++ b/src/connection/raw_headers.ts
@@ -28,7 +28,7 @@
  * Fields to pass on: without those of the connection, of the framing, and
  * those named.
  */
-export function passedOnHeaders(
+export function forwardedHeaders(
   headers: RawHeaders,
   dropped: ReadonlySet<string>,
 ): string[] {
--- a/src/connection/received_rest.ts
+++ b/src/connection/received_body_rest.ts
@@ -4,10 +4,10 @@
  */
 import {Readable} from 'node:stream';
 import {TransportError} from '../base/errors.js';
-import {REST_WINDOW_BYTES} from './rest_sender.js';
+import {BODY_REST_WINDOW_BYTES} from './body_rest_sender.js';
 
 /** Receiving side of one rest. */
-export interface ReceivedRest {
+export interface ReceivedBodyRest {
   readonly stream: Readable;
   push(chunk: Buffer): void;
   /** All has come. */
@@ -17,18 +17,20 @@
 }
 
 /** What it needs. */
-export interface ReceivedRestOptions {
+export interface ReceivedBodyRestOptions {
   /** Grants the sender as many bytes as were read. */
-  readonly grant: (bytes: number) => void;
+  readonly extendWindow: (bytes: number) => void;
   /** The reader left before the end. */
   readonly onAbandoned: () => void;
 }
 
 /** Bytes that are granted at once; each grant costs a frame. */
-const GRANT_BYTES = REST_WINDOW_BYTES / 4;
+const GRANT_BYTES = BODY_REST_WINDOW_BYTES / 4;
 
 /** Creates the stream of a rest. */
-export function createReceivedRest(options: ReceivedRestOptions): ReceivedRest {
+export function createReceivedBodyRest(
+  options: ReceivedBodyRestOptions,
+): ReceivedBodyRest {
   let pushedBytes = 0;
   let grantedBytes = 0;
   let isComplete = false;
@@ -36,7 +38,7 @@
   const grantWhatWasRead = (): void => {
     const readBytes = pushedBytes - stream.readableLength;
     if (readBytes - grantedBytes < GRANT_BYTES) return;
-    options.grant(readBytes - grantedBytes);
+    options.extendWindow(readBytes - grantedBytes);
     grantedBytes = readBytes;
   };
   const stream = new Readable({
--- a/src/connection/received_answer.ts
+++ b/src/connection/received_response.ts
@@ -7,13 +7,13 @@
 import type {RawHeaders} from './raw_headers.js';
 
 /** An answer with its body. */
-export interface ReceivedAnswer {
+export interface ReceivedResponse {
   readonly statusCode: number;
   readonly headers: RawHeaders;
   /** The whole body, or its beginning. */
-  readonly start: Buffer;
+  readonly bodyStart: Buffer;
   /** The rest of the body, paused; `undefined` if `start` is all of it. */
-  readonly rest: Readable | undefined;
+  readonly bodyRest: Readable | undefined;
   /**
    * The upstream sent no length: the end of its connection was the only sign
    * that the body is complete, and may as well be that of a crash.
@@ -28,13 +28,13 @@
 const WHOLE_BYTES = 65_536;
 
 /** Receives the body; rejects if it breaks off before it is held. */
-export function receiveAnswer(
+export function receiveResponse(
   message: IncomingMessage,
-): Promise<ReceivedAnswer> {
+): Promise<ReceivedResponse> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let bytes = 0;
-    const finish = (rest: Readable | undefined): void => {
+    const finish = (bodyRest: Readable | undefined): void => {
       message.removeListener('data', onData);
       message.removeListener('end', onEnd);
       message.removeListener('error', onBroken);
@@ -42,8 +42,8 @@
       resolve({
         statusCode: message.statusCode ?? 0,
         headers: message.rawHeaders,
-        start: Buffer.concat(chunks),
-        rest,
+        bodyStart: Buffer.concat(chunks),
+        bodyRest,
         isUnframed: isUnframed(message),
       });
     };
@@ -69,7 +69,7 @@
 }
 
 /** Waits until a rest is closed; true if it was read to its end. */
-export function readWhole(rest: Readable): Promise<boolean> {
+export function waitUntilClosed(rest: Readable): Promise<boolean> {
   if (rest.closed) return Promise.resolve(rest.readableEnded);
   return new Promise(resolve => {
     rest.once('close', () => {
@@ -87,7 +87,7 @@
 }
 
 /** Value of a header; `undefined` if absent. */
-export function headerOf(
+export function findHeader(
   headers: RawHeaders,
   lowerName: string,
 ): string | undefined {
--- a/src/connection/relay_follower.ts
+++ b/src/connection/relay_follower.ts
@@ -4,20 +4,20 @@
 import * as Effect from 'effect/Effect';
 import type {
   DocumentRelay,
-  RelayEnd,
+  RelayPollResult,
 } from '../process/membership/document_relay.js';
 import type {SourcePosition} from '../process/membership/document_source.js';
 import type {PeerPositions} from '../process/membership/peer_positions.js';
-import type {FollowState} from './follow_state.js';
+import type {FollowerState} from './follower_state.js';
 import {waitForStalePosition} from './wait_for_stale_position.js';
 
 /** What it needs. */
 export interface RelayFollowerOptions {
   readonly relay: DocumentRelay;
-  readonly state: FollowState;
+  readonly state: FollowerState;
   readonly peerPositions: PeerPositions | undefined;
   /** Another node has answered. */
-  readonly onTold: () => void;
+  readonly onResponse: () => void;
   readonly nowMillis: () => number;
 }
 
@@ -25,7 +25,7 @@
  * Interval of the questions: a node learns of a change at the latest then, and of
  * the loss of the one that watches before the bound is over.
  */
-export const RELAY_MILLIS = 700;
+export const RELAY_POLL_INTERVAL_MILLIS = 700;
 
 /** Time left between two questions, the second while others still know more. */
 const PAUSE_MILLIS = 50;
@@ -40,13 +40,14 @@
   /** Returns the pause before the next question. */
   const takeDocuments = (
     after: SourcePosition,
-    read: Exclude<RelayEnd, string>,
+    read: Exclude<RelayPollResult, string>,
     sinceMillis: number,
   ): number => {
-    options.onTold();
-    state.noteReached();
-    if (read.documents.length > 0) state.tellCall('relayed', read, sinceMillis);
-    state.takeChanges(after, read);
+    options.onResponse();
+    state.markReached();
+    if (read.documents.length > 0)
+      state.reportCall('relayed', read, sinceMillis);
+    state.applyChanges(after, read);
     state.setWatching(false);
     const isStale = peerPositions?.isStale ?? false;
     return isStale ? STALE_PAUSE_MILLIS : PAUSE_MILLIS;
@@ -55,45 +56,49 @@
   /** Returns the pause before the next question. */
   const take = (
     after: SourcePosition,
-    end: RelayEnd,
+    end: RelayPollResult,
     sinceMillis: number,
   ): number => {
     if (end === 'watch') {
       state.setWatching(true);
-      return RELAY_MILLIS;
+      return RELAY_POLL_INTERVAL_MILLIS;
     }
-    if (end === 'failed') return state.isSourceLost ? RELAY_MILLIS : 0;
+    if (end === 'failed')
+      return state.isSourceLost ? RELAY_POLL_INTERVAL_MILLIS : 0;
     // The position that was asked for is void, or about to be.
-    if (state.isReading || state.readDue !== 'no') return RELAY_MILLIS;
-    if (state.position?.epoch !== after.epoch) return RELAY_MILLIS;
+    if (state.isReading || state.readRequirement !== 'no')
+      return RELAY_POLL_INTERVAL_MILLIS;
+    if (state.position?.epoch !== after.epoch)
+      return RELAY_POLL_INTERVAL_MILLIS;
     if (end !== 'read') return takeDocuments(after, end, sinceMillis);
     state.setWatching(false);
     state.requireRead('until-read');
-    return RELAY_MILLIS;
+    return RELAY_POLL_INTERVAL_MILLIS;
   };
 
   const untilAskedAgain =
     peerPositions === undefined
-      ? Effect.sleep(RELAY_MILLIS)
+      ? Effect.sleep(RELAY_POLL_INTERVAL_MILLIS)
       : Effect.raceFirst(
-          Effect.sleep(RELAY_MILLIS),
+          Effect.sleep(RELAY_POLL_INTERVAL_MILLIS),
           waitForStalePosition(peerPositions),
         );
 
   const pauseFor = (millis: number): Effect.Effect<unknown> => {
     if (millis === 0) return Effect.void;
     const slept = Effect.sleep(millis);
-    return millis < RELAY_MILLIS
+    return millis < RELAY_POLL_INTERVAL_MILLIS
       ? Effect.andThen(slept, untilAskedAgain)
       : slept;
   };
 
   const step = Effect.suspend((): Effect.Effect<unknown, unknown> => {
     const after = state.position;
-    if (after === undefined || state.isReading) return pauseFor(RELAY_MILLIS);
+    if (after === undefined || state.isReading)
+      return pauseFor(RELAY_POLL_INTERVAL_MILLIS);
     const sinceMillis = nowMillis();
     return Effect.tryPromise({
-      try: () => relay.ask(after, state.isSourceLost),
+      try: () => relay.poll(after, state.isSourceLost),
       catch: error => error,
     }).pipe(
       Effect.flatMap(end =>
@@ -112,7 +117,9 @@
   });
 
   return step.pipe(
-    Effect.catch(() => Effect.andThen(failed, pauseFor(RELAY_MILLIS))),
+    Effect.catch(() =>
+      Effect.andThen(failed, pauseFor(RELAY_POLL_INTERVAL_MILLIS)),
+    ),
     Effect.forever,
   );
 }
--- a/src/connection/remote_execution.ts
+++ b/src/connection/remote_execution.ts
@@ -4,38 +4,38 @@
  */
 import type {Disposable} from '../base/lifecycle.js';
 import {createDisposableStore, createIntervalTimer} from '../base/lifecycle.js';
-import {endpointText} from '../process/settings/endpoint_text.js';
-import type {LoadBoard} from '../process/admission/load_board.js';
+import {formatEndpoint} from '../process/settings/format_endpoint.js';
+import type {LoadTable} from '../process/admission/load_table.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
 import type {PeerPositions} from '../process/membership/peer_positions.js';
-import type {ReplyBound} from '../process/membership/reply_bound.js';
-import {createReplyBound} from '../process/membership/reply_bound.js';
-import type {RetryLoan} from '../process/repeats/retry_grant.js';
+import type {ReplyTimeout} from '../process/membership/reply_timeout.js';
+import {createReplyTimeout} from '../process/membership/reply_timeout.js';
+import type {DelegatedRetries} from '../process/repeats/retry_grant.js';
 import type {UpstreamEntry} from '../process/membership/upstream_entry.js';
 import type {
   HopRequest,
   LoadFields,
   PositionFields,
 } from '../protocol/hop_messages.js';
-import {LOADS_QUESTION} from '../protocol/load_codec.js';
+import {LOADS_QUERY} from '../protocol/load_codec.js';
 import {sendCrashReport} from './crash_report_sender.js';
-import type {ExecutionCall, ExecutionEnd} from './execution.js';
+import type {ExecutionCall, ExecutionResult} from './execution.js';
 import type {HopPeer} from './hop_peer.js';
 import {createHopPeer} from './hop_peer.js';
-import type {HopEnd} from './outgoing_hop.js';
+import type {HopResult} from './outgoing_hop.js';
 import {createOutgoingHop} from './outgoing_hop.js';
-import type {PeerSigns, PeerWatch} from './peer_watch.js';
-import {createPeerWatch} from './peer_watch.js';
+import type {PeerLiveness, PeerMonitor} from './peer_monitor.js';
+import {createPeerMonitor} from './peer_monitor.js';
 
 /** Executes requests at other hosts. */
 export interface RemoteExecution extends Disposable {
-  execute(target: UpstreamEntry, call: ExecutionCall): Promise<ExecutionEnd>;
+  execute(target: UpstreamEntry, call: ExecutionCall): Promise<ExecutionResult>;
   /** The node beside an upstream did not reply when it was asked last. */
   isLost(target: UpstreamEntry): boolean;
   /** Asks the node beside an upstream for what it knows of loads. */
-  askLoads(target: UpstreamEntry): void;
+  queryLoads(target: UpstreamEntry): void;
   /** Asks it for changes of the published documents; `undefined` without answer. */
-  askChanges(
+  queryChanges(
     target: UpstreamEntry,
     question: Buffer,
   ): Promise<Buffer | undefined>;
@@ -45,7 +45,7 @@
 
 /** What it needs. */
 export interface RemoteExecutionOptions {
-  readonly board: LoadBoard;
+  readonly loadTable: LoadTable;
   readonly peerPositions: PeerPositions;
   readonly nowMillis: () => number;
   /** A node did not reply; so many requests for it were given up. */
@@ -54,7 +54,7 @@
   /** A node answered a report of crashes with what this one lacks. */
   readonly onCrashReport: (peer: Endpoint, report: Buffer) => void;
   /** A connection was lost; so many requests on it went on elsewhere. */
-  readonly onLinkLost: (peer: Endpoint, hopsCount: number) => void;
+  readonly onConnectionReplaced: (peer: Endpoint, hopsCount: number) => void;
 }
 
 /**
@@ -62,7 +62,7 @@
  * grows in a busy fleet: two nodes that do not answer, one after the other, must
  * leave time for a call to the source within the shortest bound on documents.
  */
-export const CHANGES_ANSWER_MILLIS = 400;
+export const CHANGES_QUERY_TIMEOUT_MILLIS = 400;
 
 /** Interval at which idle connections are looked for. */
 const EXPIRE_MILLIS = 1000;
@@ -72,27 +72,27 @@
   options: RemoteExecutionOptions,
 ): RemoteExecution {
   const store = createDisposableStore();
-  const replyBound = createReplyBound();
-  const watch = store.add(createPeerWatch({...options, replyBound}));
+  const replyBound = createReplyTimeout();
+  const watch = store.add(createPeerMonitor({...options, replyBound}));
   const peers = createPeers(options, watch, replyBound);
   store.add(peers);
   const execution: HopExecution = {options, peerOf: peers.of};
   return {
     execute: (target, call) => executeResent(execution, target, call),
     isLost: target => peers.isLost(target.node),
-    askLoads: target => {
-      peers.of(target.node).ask(LOADS_QUESTION);
+    queryLoads: target => {
+      peers.of(target.node).sendQuery(LOADS_QUERY);
     },
-    askChanges: (target, question) =>
+    queryChanges: (target, question) =>
       new Promise(resolve => {
         const timer = setTimeout(() => {
           resolve(undefined);
-        }, CHANGES_ANSWER_MILLIS);
+        }, CHANGES_QUERY_TIMEOUT_MILLIS);
         peers.onChanges(target.node, answer => {
           clearTimeout(timer);
           resolve(answer);
         });
-        peers.of(target.node).ask(question);
+        peers.of(target.node).sendQuery(question);
       }),
     sendCrashReport: (peer, report) => {
       sendCrashReport(peer, report, answer => {
@@ -113,31 +113,31 @@
 /** A node that requests have been sent to. */
 interface KnownPeer {
   readonly peer: HopPeer;
-  readonly signs: PeerSigns;
+  readonly signs: PeerLiveness;
 }
 
 /** Nodes that requests have been sent to. */
 function createPeers(
   options: RemoteExecutionOptions,
-  watch: PeerWatch,
-  replyBound: ReplyBound,
+  watch: PeerMonitor,
+  replyBound: ReplyTimeout,
 ): Peers {
   const peers = new Map<string, KnownPeer>();
   const changesListeners = new Map<string, (answer: Buffer) => void>();
   const timer = createIntervalTimer(EXPIRE_MILLIS, () => {
-    for (const {peer} of peers.values()) peer.expire();
+    for (const {peer} of peers.values()) peer.closeIdleConnections();
   });
   return {
     of: endpoint => {
-      const key = endpointText(endpoint);
+      const key = formatEndpoint(endpoint);
       const known = peers.get(key);
       if (known !== undefined) return known.peer;
       const peer = createHopPeer({
         endpoint,
         nowMillis: options.nowMillis,
         replyBound,
-        onHeard: () => {
-          signs.noteHeard();
+        onDataReceived: () => {
+          signs.recordActivity();
         },
         onLoads: loads => {
           observeLoads(options, loads);
@@ -147,8 +147,8 @@
           changesListeners.delete(key);
           listener?.(answer);
         },
-        onReplaced: hopsCount => {
-          options.onLinkLost(endpoint, hopsCount);
+        onHopsResumed: hopsCount => {
+          options.onConnectionReplaced(endpoint, hopsCount);
         },
       });
       const signs = watch.add(peer);
@@ -156,9 +156,9 @@
       return peer;
     },
     isLost: endpoint =>
-      peers.get(endpointText(endpoint))?.signs.isLost ?? false,
+      peers.get(formatEndpoint(endpoint))?.signs.isLost ?? false,
     onChanges: (endpoint, listener) => {
-      changesListeners.set(endpointText(endpoint), listener);
+      changesListeners.set(formatEndpoint(endpoint), listener);
     },
     dispose: () => {
       timer.dispose();
@@ -180,7 +180,7 @@
   execution: HopExecution,
   target: UpstreamEntry,
   call: ExecutionCall,
-): Promise<ExecutionEnd> {
+): Promise<ExecutionResult> {
   return new Promise(resolve => {
     executeHop(execution, target, call, end => {
       const isSilent = end.kind === 'refused' && end.reason === 'silent';
@@ -197,19 +197,19 @@
   {options, peerOf}: HopExecution,
   target: UpstreamEntry,
   call: ExecutionCall,
-  onEnd: (end: ExecutionEnd) => void,
+  onEnd: (end: ExecutionResult) => void,
 ): void {
   if (call.cancel.isCancelled) {
     onEnd({kind: 'refused', reason: 'cancelled'});
     return;
   }
-  const loan = call.origin.grant.lend();
+  const loan = call.origin.grant.delegate();
   const now = options.nowMillis();
   const hop = createOutgoingHop({
     request: requestOf(target, call, {
       loan,
       now,
-      knownPosition: options.peerPositions.known,
+      knownPosition: options.peerPositions.applied,
     }),
     body: call.body,
     startedMillis: now,
@@ -219,14 +219,14 @@
     },
   });
   const callers = call.cancel.onCancel(() => {
-    hop.lost('cancelled');
+    hop.fail('cancelled');
   });
   peerOf(target.node).send(hop);
 }
 
 /** What a hop carries of its sender. */
 interface HopParts {
-  readonly loan: RetryLoan;
+  readonly loan: DelegatedRetries;
   readonly now: number;
   readonly knownPosition: PositionFields;
 }
@@ -263,19 +263,19 @@
 
 function interpret(
   options: RemoteExecutionOptions,
-  end: HopEnd,
-  loan: RetryLoan,
-): ExecutionEnd {
+  end: HopResult,
+  loan: DelegatedRetries,
+): ExecutionResult {
   switch (end.kind) {
     case 'not-run':
-      loan.settle(loan.count);
+      loan.reclaim(loan.count);
       return {kind: 'refused', reason: end.reason};
     case 'lost':
       return {kind: 'unknown', reason: end.reason, hasFailedCall: false};
     case 'answer':
-      loan.settle(end.answer.unspentCount);
+      loan.reclaim(end.answer.unspentCount);
       observeLoads(options, end.answer.loads);
-      options.peerPositions.noteTold(end.answer.knownPosition);
+      options.peerPositions.recordPeerPosition(end.answer.knownPosition);
       return endOf(end);
   }
 }
@@ -283,7 +283,7 @@
 function endOf({
   answer,
   received,
-}: Extract<HopEnd, {kind: 'answer'}>): ExecutionEnd {
+}: Extract<HopResult, {kind: 'answer'}>): ExecutionResult {
   const {outcome, reason, hasFailedCall, calls, crashesCount} = answer;
   if (outcome === 'refused') return {kind: 'refused', reason};
   if (outcome === 'unknown' || received === undefined) {
@@ -298,6 +298,6 @@
 ): void {
   const now = options.nowMillis();
   for (const load of loads) {
-    options.board.observe({...load, madeAtMillis: now - load.ageMillis});
+    options.loadTable.observe({...load, madeAtMillis: now - load.ageMillis});
   }
 }
--- a/src/connection/request_body.ts
+++ b/src/connection/request_body.ts
@@ -4,12 +4,12 @@
 import type {IncomingMessage} from 'node:http';
 
 /** How the reading ended. */
-export type BodyRead =
+export type BodyReadResult =
   | {readonly kind: 'whole'; readonly bytes: Buffer}
   | {readonly kind: 'too-large'}
   | {readonly kind: 'broken'};
 
-const EMPTY: BodyRead = {kind: 'whole', bytes: Buffer.alloc(0)};
+const EMPTY: BodyReadResult = {kind: 'whole', bytes: Buffer.alloc(0)};
 
 /** Whether the header of a request announces a body. */
 export function hasBody(request: IncomingMessage): boolean {
@@ -22,7 +22,7 @@
 export function readRequestBody(
   request: IncomingMessage,
   maxBytes: number,
-): Promise<BodyRead> {
+): Promise<BodyReadResult> {
   if (!hasBody(request)) {
     request.resume();
     return Promise.resolve(EMPTY);
@@ -36,7 +36,7 @@
 function collect(
   request: IncomingMessage,
   maxBytes: number,
-): Promise<BodyRead> {
+): Promise<BodyReadResult> {
   return new Promise(resolve => {
     const chunks: Buffer[] = [];
     let bytes = 0;
--- a/src/connection/request_fingerprint.ts
+++ b/src/connection/request_fingerprint.ts
@@ -4,7 +4,7 @@
  */
 import {createHash} from 'node:crypto';
 import type {RawHeaders} from './raw_headers.js';
-import {headerOf} from './received_answer.js';
+import {findHeader} from './received_response.js';
 
 /** A request with all that its fingerprints cover. */
 export interface FingerprintedRequest {
@@ -21,22 +21,22 @@
   /** Of method, host, target and body. */
   readonly content: string;
   /** Of these and the service of the caller. */
-  readonly contentOfCaller: string;
+  readonly contentAndCaller: string;
 }
 
 /** Length of a fingerprint; texts take a third more. */
 const FINGERPRINT_BYTES = 12;
 
 /** Computes both fingerprints; costs one pass over the body. */
-export function fingerprintsOf(
+export function computeFingerprints(
   request: FingerprintedRequest,
 ): RequestFingerprints {
   const {method, target, headers, body} = request;
-  const host = headerOf(headers, 'host') ?? '';
+  const host = findHeader(headers, 'host') ?? '';
   const content = digestOf([method, host, target].join('\n'), body);
   return {
     content,
-    contentOfCaller: digestOf(content, request.callerService),
+    contentAndCaller: digestOf(content, request.callerService),
   };
 }
 
--- a/src/connection/answer_sender.ts
+++ b/src/connection/response_sender.ts
@@ -5,45 +5,45 @@
 import type {ServerResponse} from 'node:http';
 import type {Readable} from 'node:stream';
 import {pipeline} from 'node:stream';
-import type {ReceivedAnswer} from './received_answer.js';
-import {headerOf} from './received_answer.js';
+import type {ReceivedResponse} from './received_response.js';
+import {findHeader} from './received_response.js';
 
 /**
  * Sends an answer with the given headers in place of its own; `HEAD` is
  * answered without a body.
  */
-export function sendAnswer(
+export function sendResponse(
   response: ServerResponse,
-  answer: ReceivedAnswer,
+  answer: ReceivedResponse,
   headers: readonly string[],
   method: string,
 ): void {
   if (response.destroyed) {
-    answer.rest?.destroy();
+    answer.bodyRest?.destroy();
     return;
   }
   const fields = [...headers];
-  if (endsConnection(answer, method)) {
+  if (isCloseDelimited(answer, method)) {
     sendUnframed(response, answer, fields);
     return;
   }
-  if (answer.rest === undefined) {
+  if (answer.bodyRest === undefined) {
     addLength(fields, answer, method);
     response.writeHead(answer.statusCode, fields);
     // As text the body goes out in one write with the header; as bytes it would
     // be a second one.
-    response.end(answer.start.toString('latin1'), 'latin1');
+    response.end(answer.bodyStart.toString('latin1'), 'latin1');
     return;
   }
-  const length = headerOf(answer.headers, 'content-length');
+  const length = findHeader(answer.headers, 'content-length');
   if (length !== undefined) fields.push('content-length', length);
   response.writeHead(answer.statusCode, fields);
-  writeWithRest(response, answer, answer.rest);
+  writeWithRest(response, answer, answer.bodyRest);
 }
 
 /** Whether the end of the connection is the end of the answer. */
-export function endsConnection(
-  answer: ReceivedAnswer,
+export function isCloseDelimited(
+  answer: ReceivedResponse,
   method: string,
 ): boolean {
   return answer.isUnframed && hasBody(answer, method);
@@ -55,24 +55,24 @@
  */
 function sendUnframed(
   response: ServerResponse,
-  answer: ReceivedAnswer,
+  answer: ReceivedResponse,
   fields: readonly string[],
 ): void {
   response.useChunkedEncodingByDefault = false;
   response.shouldKeepAlive = false;
   const others = withoutConnection(fields);
   response.writeHead(answer.statusCode, [...others, 'connection', 'close']);
-  const {rest} = answer;
-  if (rest === undefined) {
-    response.end(answer.start);
+  const {bodyRest} = answer;
+  if (bodyRest === undefined) {
+    response.end(answer.bodyStart);
     return;
   }
   // An end in good order is the end of such an answer: closed like any other
   // connection, a broken one would be taken for whole. A reset tells.
-  rest.once('error', () => {
+  bodyRest.once('error', () => {
     response.socket?.resetAndDestroy();
   });
-  writeWithRest(response, answer, rest);
+  writeWithRest(response, answer, bodyRest);
 }
 
 function withoutConnection(fields: readonly string[]): readonly string[] {
@@ -91,14 +91,14 @@
  */
 function writeWithRest(
   response: ServerResponse,
-  answer: ReceivedAnswer,
+  answer: ReceivedResponse,
   rest: Readable,
 ): void {
-  response.write(answer.start);
+  response.write(answer.bodyStart);
   pipeline(rest, response, () => undefined);
 }
 
-function hasBody(answer: ReceivedAnswer, method: string): boolean {
+function hasBody(answer: ReceivedResponse, method: string): boolean {
   return method !== 'HEAD' && !NO_BODY_STATUS_CODES.has(answer.statusCode);
 }
 
@@ -106,14 +106,14 @@
 
 function addLength(
   fields: string[],
-  answer: ReceivedAnswer,
+  answer: ReceivedResponse,
   method: string,
 ): void {
   if (hasBody(answer, method)) {
-    fields.push('content-length', String(answer.start.length));
+    fields.push('content-length', String(answer.bodyStart.length));
     return;
   }
-  const length = headerOf(answer.headers, 'content-length');
+  const length = findHeader(answer.headers, 'content-length');
   if (method === 'HEAD' && length !== undefined) {
     fields.push('content-length', length);
   }
--- a/src/connection/send_request.ts
+++ b/src/connection/send_request.ts
@@ -6,8 +6,8 @@
 import type {CancelSignal} from '../base/cancel_signal.js';
 import {describeError} from '../base/errors.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
-import type {ReceivedAnswer} from './received_answer.js';
-import {receiveAnswer} from './received_answer.js';
+import type {ReceivedResponse} from './received_response.js';
+import {receiveResponse} from './received_response.js';
 
 /** A request to send. */
 export interface OutgoingRequest {
@@ -22,10 +22,10 @@
 }
 
 /** How a request ended. */
-export type SendEnd =
+export type SendResult =
   | {
       readonly kind: 'answer';
-      readonly answer: ReceivedAnswer;
+      readonly answer: ReceivedResponse;
       /** Closes the connection instead of keeping it for the next request. */
       readonly discardConnection: () => void;
     }
@@ -42,7 +42,7 @@
 /** Sends a request; `onEnd` is called once. */
 export function sendRequest(
   outgoing: OutgoingRequest,
-  onEnd: (end: SendEnd) => void,
+  onEnd: (end: SendResult) => void,
 ): void {
   const {to} = outgoing;
   const request = http.request({
@@ -59,7 +59,7 @@
   let timer: NodeJS.Timeout | undefined;
   let received: http.IncomingMessage | undefined;
 
-  const end = (result: SendEnd): void => {
+  const end = (result: SendResult): void => {
     if (isEnded) return;
     isEnded = true;
     clearTimeout(timer);
@@ -106,7 +106,7 @@
       request.destroy();
       message.socket?.destroy();
     };
-    receiveAnswer(message).then(
+    receiveResponse(message).then(
       answer => {
         end({kind: 'answer', answer, discardConnection});
       },
--- a/src/connection/upstream_sender.ts
+++ b/src/connection/upstream_sender.ts
@@ -7,13 +7,13 @@
 import type {HopReason} from '../protocol/hop_messages.js';
 import type {WireHeaders} from '../protocol/wire_headers.js';
 import {
-  createKeptConnections,
-  dropIdleConnections,
-} from './kept_connections.js';
+  createKeepAliveAgent,
+  closeIdleConnections,
+} from './keep_alive_agent.js';
 import type {RawHeaders} from './raw_headers.js';
-import type {ReceivedAnswer} from './received_answer.js';
-import {headerOf} from './received_answer.js';
-import type {SendEnd} from './send_request.js';
+import type {ReceivedResponse} from './received_response.js';
+import {findHeader} from './received_response.js';
+import type {SendResult} from './send_request.js';
 import {sendRequest} from './send_request.js';
 
 /** A request for the upstream. */
@@ -30,8 +30,8 @@
 }
 
 /** What came of it. */
-export type UpstreamEnd =
-  | {readonly kind: 'answered'; readonly answer: ReceivedAnswer}
+export type UpstreamResult =
+  | {readonly kind: 'answered'; readonly answer: ReceivedResponse}
   /** Not run, and it will not be. */
   | {
       readonly kind: 'not-run';
@@ -49,13 +49,13 @@
 /** Sends requests to one upstream. */
 export interface UpstreamSender extends Disposable {
   /** Sends a request; `onEnd` is called once. */
-  send(request: UpstreamRequest, onEnd: (end: UpstreamEnd) => void): void;
+  send(request: UpstreamRequest, onEnd: (end: UpstreamResult) => void): void;
   /**
    * Closes idle connections, which lead to a start of the upstream that is gone.
    * If they fell silent, an order written on one would end without an answer,
    * and it would be unknown whether it ran.
    */
-  dropIdle(): void;
+  closeIdleConnections(): void;
 }
 
 /**
@@ -77,7 +77,7 @@
   upstream: Endpoint,
   names: WireHeaders,
 ): UpstreamSender {
-  const agent = createKeptConnections({
+  const agent = createKeepAliveAgent({
     maxIdleMillis: MAX_IDLE_MILLIS,
     maxSocketsCount: MAX_SOCKETS_COUNT,
   });
@@ -103,13 +103,13 @@
         // its connections opened anew with each timeout.
         const wasSilent = answersCount === answersBefore;
         if (end.kind === 'lost' && end.wasReused && wasSilent) {
-          dropIdleConnections(agent, upstream);
+          closeIdleConnections(agent, upstream);
         }
         onEnd(interpret(end, request, names));
       });
     },
-    dropIdle: () => {
-      dropIdleConnections(agent, upstream);
+    closeIdleConnections: () => {
+      closeIdleConnections(agent, upstream);
     },
     dispose: () => {
       agent.destroy();
@@ -136,10 +136,10 @@
 }
 
 function interpret(
-  end: SendEnd,
+  end: SendResult,
   request: UpstreamRequest,
   names: WireHeaders,
-): UpstreamEnd {
+): UpstreamResult {
   if (end.kind === 'not-sent') return {kind: 'not-run', reason: 'unreachable'};
   if (end.kind === 'lost') {
     const reason = request.cancel.isCancelled ? 'cancelled' : 'connection-lost';
@@ -152,10 +152,10 @@
   }
   if (answer.statusCode === STATUS_MISDIRECTED) {
     const actualId =
-      names.upstreamId && headerOf(answer.headers, names.upstreamId);
+      names.upstreamId && findHeader(answer.headers, names.upstreamId);
     return {kind: 'not-run', reason: 'misdirected', actualId};
   }
-  if (headerOf(answer.headers, names.notExecuted) !== undefined) {
+  if (findHeader(answer.headers, names.notExecuted) !== undefined) {
     return {kind: 'not-run', reason: 'not-executed'};
   }
   return {kind: 'answered', answer};
@@ -167,17 +167,17 @@
  * expected; the caller would receive what belongs to somebody else.
  */
 function isForeign(
-  answer: ReceivedAnswer,
+  answer: ReceivedResponse,
   request: UpstreamRequest,
   names: WireHeaders,
 ): boolean {
   const {headers, statusCode} = answer;
-  const echoedId = headerOf(headers, names.attemptId);
+  const echoedId = findHeader(headers, names.attemptId);
   if (echoedId !== undefined && echoedId !== request.attemptId) return true;
-  if (headerOf(headers, 'content-encoding') !== undefined) return true;
+  if (findHeader(headers, 'content-encoding') !== undefined) return true;
   const isSuccess = statusCode >= 200 && statusCode < 300;
   if (!isSuccess || names.signature === undefined) return false;
   return (
-    echoedId === undefined || headerOf(headers, names.signature) === undefined
+    echoedId === undefined || findHeader(headers, names.signature) === undefined
   );
 }
--- a/src/daemon/crash_handling.ts
+++ b/src/daemon/crash_handling.ts
@@ -4,7 +4,7 @@
 import {randomBytes} from 'node:crypto';
 import type {Disposable} from '../base/lifecycle.js';
 import {createDisposableStore, createIntervalTimer} from '../base/lifecycle.js';
-import {fingerprintsOf} from '../connection/request_fingerprint.js';
+import {computeFingerprints} from '../connection/request_fingerprint.js';
 import {probeUpstream} from '../connection/upstream_probe.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
 import type {NodeMetrics} from '../process/log/node_metrics.js';
@@ -62,10 +62,10 @@
   const evidence = createCrashEvidence({
     nowMillis,
     onQuarantined: suspect => {
-      log.state('request-quarantined', describeSuspect(suspect));
+      log.logStateEvent('request-quarantined', describeSuspect(suspect));
     },
     onReleased: fingerprint => {
-      log.state('request-released', {fingerprint});
+      log.logStateEvent('request-released', {fingerprint});
     },
   });
   const gossip = createCrashGossip({
@@ -73,7 +73,7 @@
     peers: options.peers,
     send: options.send,
     onMalformed: () => {
-      log.request('crash-report-malformed', {});
+      log.logRequestEvent('crash-report-malformed', {});
     },
     nowMillis,
     random,
@@ -88,26 +88,26 @@
   });
   const quarantine = createCrashQuarantine({
     evidence,
-    onRefused: (request, {content, contentOfCaller}, reason) => {
+    onRefused: (request, {content, contentAndCaller}, reason) => {
       metrics.recordCrashRefusal(reason);
-      const fingerprints = [content, contentOfCaller];
-      log.request('crash-refusal', {
+      const fingerprints = [content, contentAndCaller];
+      log.logRequestEvent('crash-refusal', {
         requestId: request.attemptId,
         reason,
         fingerprint: content,
-        callerFingerprint: contentOfCaller,
+        callerFingerprint: contentAndCaller,
         crashesCount: evidence.crashesCount(fingerprints),
         lastCrashAgeMillis: Math.round(
           evidence.lastCrashAgeMillis(fingerprints),
         ),
       });
     },
-    onCleared: (request, {content, contentOfCaller}) => {
+    onCleared: (request, {content, contentAndCaller}) => {
       metrics.recordCrashClearance();
-      log.request('crash-suspicion-cleared', {
+      log.logRequestEvent('crash-suspicion-cleared', {
         requestId: request.attemptId,
         fingerprint: content,
-        callerFingerprint: contentOfCaller,
+        callerFingerprint: contentAndCaller,
       });
     },
   });
@@ -130,14 +130,14 @@
   const crashId = randomBytes(CRASH_ID_BYTES).toString('hex');
   const upstreamId = inProgress[0]?.upstreamId ?? '';
   metrics.recordUpstreamCrash();
-  log.state('upstream-crashed', {
+  log.logStateEvent('upstream-crashed', {
     crashId,
     upstream: upstreamId,
     inProgressCount: inProgress.length,
   });
   const requests = inProgress.map(request => ({
     request,
-    fingerprints: fingerprintsOf(request),
+    fingerprints: computeFingerprints(request),
   }));
   gossip.report({
     crashId,
@@ -145,18 +145,18 @@
     ageMillis: 0,
     fingerprints: requests.flatMap(({fingerprints}) => [
       fingerprints.content,
-      fingerprints.contentOfCaller,
+      fingerprints.contentAndCaller,
     ]),
     clearedFingerprints: [],
   });
   for (const {request, fingerprints} of requests) {
-    const {content, contentOfCaller} = fingerprints;
-    log.request('in-progress-at-crash', {
+    const {content, contentAndCaller} = fingerprints;
+    log.logRequestEvent('in-progress-at-crash', {
       requestId: request.attemptId,
       crashId,
       fingerprint: content,
-      callerFingerprint: contentOfCaller,
-      crashesCount: evidence.crashesCount([content, contentOfCaller]),
+      callerFingerprint: contentAndCaller,
+      crashesCount: evidence.crashesCount([content, contentAndCaller]),
       ageMillis: Math.round(nowMillis() - request.startedMillis),
     });
   }
--- a/src/daemon/document_feeds.ts
+++ b/src/daemon/document_feeds.ts
@@ -8,7 +8,7 @@
 import type {DocumentListener} from '../connection/document_listener.js';
 import {followDocuments} from '../connection/document_follower.js';
 import {createPrefixListener} from '../connection/prefix_listener.js';
-import {createFollowPace} from '../process/membership/follow_pace.js';
+import {createFollowerPacing} from '../process/membership/follower_pacing.js';
 import type {DocumentRelay} from '../process/membership/document_relay.js';
 import type {PeerPositions} from '../process/membership/peer_positions.js';
 import type {DocumentListenersOptions} from './document_listeners.js';
@@ -37,7 +37,7 @@
  * What the bound leaves for nodes that ask this one: the time until each of them
  * knows that there is news, and its question.
  */
-export const PASS_ON_MILLIS = 600;
+export const RELAY_RESERVE_MILLIS = 600;
 
 /** Starts to follow both kinds of documents. */
 export function startDocumentFeeds(
@@ -75,9 +75,9 @@
       // Revisions of two sources, or of two watches, cannot be compared.
       peerPositions: isShared ? options.peerPositions : undefined,
       relay: isShared ? options.relay : undefined,
-      pace: createFollowPace({
+      pace: createFollowerPacing({
         ...options,
-        passOnMillis: isShared ? PASS_ON_MILLIS : 0,
+        relayReserveMillis: isShared ? RELAY_RESERVE_MILLIS : 0,
       }),
       nowMillis: options.nowMillis,
     }),
--- a/src/daemon/document_listeners.ts
+++ b/src/daemon/document_listeners.ts
@@ -75,7 +75,7 @@
       tellRestored(options, before, now);
     },
     onReached: wasLostMillis => {
-      directory.markSourceRegained();
+      directory.markSourceRecovered();
       events.onReached(wasLostMillis);
     },
     onSnapshot: changes => {
@@ -113,20 +113,20 @@
   return {
     onCall: end => {
       if (end.call === 'relayed') {
-        metrics.recordRelayed();
-        log.request('documents-relayed', {...end});
+        metrics.recordRelayedChanges();
+        log.logRequestEvent('documents-relayed', {...end});
         return;
       }
       metrics.recordStoreCall(end.call);
-      log.request('store-call', {...end});
+      log.logRequestEvent('store-call', {...end});
     },
     onLost: reason => {
       metrics.recordStoreLost();
-      log.state('store-lost', {documents, reason});
+      log.logStateEvent('store-lost', {documents, reason});
     },
     onReached: wasLostMillis => {
       const lostMillis = Math.round(wasLostMillis);
-      log.state('store-reached', {documents, lostMillis});
+      log.logStateEvent('store-reached', {documents, lostMillis});
     },
   };
 }
@@ -137,7 +137,7 @@
   now: SourcePosition,
 ): void {
   metrics.recordStoreRestored();
-  log.state('store-restored', {
+  log.logStateEvent('store-restored', {
     epochBefore: before.epoch,
     revisionBefore: before.revision,
     epoch: now.epoch,
@@ -155,7 +155,7 @@
   if (decoded.kind === 'invalid') {
     const {reason, field} = decoded;
     options.metrics.recordInvalidDocument('configuration');
-    log.state('configuration-invalid', {
+    log.logStateEvent('configuration-invalid', {
       key: change.key,
       field,
       reason,
@@ -163,8 +163,8 @@
     });
     return;
   }
-  const verdict = configuration.offer(decoded.value);
-  log.state(`configuration-${verdict}`, {
+  const verdict = configuration.update(decoded.value);
+  log.logStateEvent(`configuration-${verdict}`, {
     configurationVersion: decoded.value.version,
     revision: change.revision,
   });
@@ -185,7 +185,7 @@
   const {entries, invalidKeys} = decodeEntries(options, [change]);
   if (entries.length > 0) directory.put(entries);
   if (invalidKeys.length > 0) {
-    directory.contest(invalidKeys.map(documents.upstreamIdOf));
+    directory.markContested(invalidKeys.map(documents.upstreamIdOf));
   }
 }
 
@@ -198,7 +198,7 @@
   const {entries, invalidKeys} = decodeEntries(options, changes);
   // A broken list names nobody; taken as it is, the whole fleet had left.
   if (documents.listsAllUpstreams && invalidKeys.length > 0) return false;
-  directory.replace(entries, invalidKeys.map(documents.upstreamIdOf));
+  directory.replaceAll(entries, invalidKeys.map(documents.upstreamIdOf));
   return true;
 }
 
@@ -233,5 +233,5 @@
   {reason, field}: Extract<Decoded<unknown>, {kind: 'invalid'}>,
 ): void {
   options.metrics.recordInvalidDocument('upstream');
-  options.log.request('upstream-invalid', {key, field, reason});
+  options.log.logRequestEvent('upstream-invalid', {key, field, reason});
 }
--- a/src/daemon/own_documents.ts
+++ b/src/daemon/http_documents.ts
@@ -6,7 +6,7 @@
 import {describeError, TransportError} from '../base/errors.js';
 import type {
   DocumentChange,
-  DocumentRead,
+  DocumentBatch,
   DocumentSource,
 } from '../process/membership/document_source.js';
 import {NO_POSITION} from '../process/membership/document_source.js';
@@ -41,7 +41,7 @@
 const STATUS_NOT_FOUND = 404;
 
 /** Creates access to the documents behind `platformUrl`. */
-export function createOwnDocuments(platformUrl: string): PublishedDocuments {
+export function createHttpDocuments(platformUrl: string): PublishedDocuments {
   let policy: Policy | undefined;
   return {
     source: createDocumentSource(platformUrl),
@@ -125,7 +125,7 @@
   url: URL,
   agent: http.Agent,
   waitMillis: number,
-): Promise<DocumentRead> {
+): Promise<DocumentBatch> {
   return new Promise((resolve, reject) => {
     const request = http.get(url, {agent});
     const timer = setTimeout(() => {
@@ -172,7 +172,7 @@
   key: string,
   response: http.IncomingMessage,
   text: string,
-): DocumentRead | undefined {
+): DocumentBatch | undefined {
   const revision = revisionOf(response.headers.etag);
   switch (response.statusCode) {
     case STATUS_OK: {
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -2,15 +2,15 @@
 /**
  * Entry point of `fulmarhollowd` with the product's own settings and documents.
  */
-import {OWN_HEADERS} from '../protocol/own_headers.js';
+import {FULMARHOLLOW_HEADERS} from '../protocol/fulmarhollow_headers.js';
 import type {NodeSettings} from '../process/settings/node_settings.js';
-import type {OwnSettings} from '../process/settings/own_settings.js';
-import {readSettingsFile} from '../process/settings/own_settings_file.js';
+import type {SettingsFile} from '../process/settings/settings_file.js';
+import {readSettingsFile} from '../process/settings/read_settings_file.js';
 import {InvalidInputError} from '../base/errors.js';
 import {formatProblem} from '../version/problem.js';
 import {EXIT_USAGE, parseCommandLine} from './command_line.js';
 import {runNodeProgram} from './node_program.js';
-import {createOwnDocuments} from './own_documents.js';
+import {createHttpDocuments} from './http_documents.js';
 
 /**
  * Bound on the repeats that one service receives from the whole fleet: a fifth
@@ -51,20 +51,20 @@
       platformUrl = settings.platformUrl;
       return nodeSettingsOf(settings);
     },
-    createDocuments: () => createOwnDocuments(platformUrl),
-    names: OWN_HEADERS,
+    createDocuments: () => createHttpDocuments(platformUrl),
+    wireHeaders: FULMARHOLLOW_HEADERS,
     readyPath: '/ready',
   });
 }
 
-function readSettings(): OwnSettings {
+function readSettings(): SettingsFile {
   const result = readSettingsFile(settingsPath);
   if (result.kind === 'parsed') return result.settings;
   const message = result.problems.map(formatProblem).join('\n');
   throw new InvalidInputError(message, {props: {step: 'settings'}});
 }
 
-function nodeSettingsOf(settings: OwnSettings): NodeSettings {
+function nodeSettingsOf(settings: SettingsFile): NodeSettings {
   const platform = new URL(settings.platformUrl);
   return {
     nodeName: settings.hostName,
--- a/src/daemon/node_decisions.ts
+++ b/src/daemon/node_components.ts
@@ -10,10 +10,10 @@
 import type {DecisionLog} from '../process/log/decision_log.js';
 import type {InFlightParents} from '../process/repeats/in_flight_parents.js';
 import {createInFlightParents} from '../process/repeats/in_flight_parents.js';
-import type {LoadBoard, LoadReport} from '../process/admission/load_board.js';
-import {createLoadBoard} from '../process/admission/load_board.js';
-import type {LoadQuestions} from '../process/admission/load_questions.js';
-import {createLoadQuestions} from '../process/admission/load_questions.js';
+import type {LoadTable, LoadReport} from '../process/admission/load_table.js';
+import {createLoadTable} from '../process/admission/load_table.js';
+import type {LoadPoller} from '../process/admission/load_poller.js';
+import {createLoadPoller} from '../process/admission/load_poller.js';
 import type {
   NodeSettings,
   RepeatBound,
@@ -45,7 +45,7 @@
 import {createLocalUpstream} from '../request/local_upstream.js';
 
 /** What decisions are made of. */
-export interface NodeDecisionsOptions {
+export interface NodeComponentsOptions {
   /** The settings of now. */
   readonly settings: () => NodeSettings;
   readonly log: DecisionLog;
@@ -55,15 +55,15 @@
 }
 
 /** Decisions and pictures of one node. */
-export interface NodeDecisions {
+export interface NodeComponents {
   readonly configuration: ConfigurationHolder;
   readonly directory: UpstreamDirectory;
   readonly peerPositions: PeerPositions;
   readonly upstream: LocalUpstream;
   readonly queue: UpstreamQueue;
   readonly level: AdmissionLevel;
-  readonly board: LoadBoard;
-  readonly questions: LoadQuestions;
+  readonly loadTable: LoadTable;
+  readonly loadPoller: LoadPoller;
   readonly parents: InFlightParents;
   readonly trees: CallTrees;
   readonly budget: RepeatBudget;
@@ -78,29 +78,30 @@
 }
 
 /** Creates the decisions of one node, which know of nothing yet. */
-export function createNodeDecisions(
-  options: NodeDecisionsOptions,
-): NodeDecisions {
+export function createNodeComponents(
+  options: NodeComponentsOptions,
+): NodeComponents {
   const {settings, nowMillis, random} = options;
   const {hostKey, zone, region} = settings();
   const configuration = createConfigurationHolder();
   const queue = createUpstreamQueue(nowMillis);
   const level = createAdmissionLevel();
-  const board = createLoadBoard(nowMillis);
+  const loadTable = createLoadTable(nowMillis);
   let ownStart: UpstreamStart | undefined;
   const directory = createUpstreamDirectory({
     nowMillis,
     heartbeatMillis: settings().heartbeatMillis,
-    isServiceNamed: service =>
+    isServiceConfigured: service =>
       configuration.current()?.hasService(service) ?? true,
     onChange: change => {
       logChange(options.log, change);
-      if (change.kind === 'restarted') board.forget(change.entry.id);
-      const isOwn = directory.atHost(hostKey)?.entry === change.entry;
+      if (change.kind === 'restarted')
+        loadTable.discardReports(change.entry.id);
+      const isOwn = directory.findByHost(hostKey)?.entry === change.entry;
       if (change.kind === 'joined' && isOwn) upstream.markReached();
     },
     onIndexed: () => {
-      const own = directory.atHost(hostKey)?.entry;
+      const own = directory.findByHost(hostKey)?.entry;
       if (own === undefined) return;
       queue.setSlots(own.slotsCount);
       // An entry that lapsed and came back is of the same start.
@@ -114,7 +115,7 @@
     ownService: () => settings().service,
     nowMillis,
     onChange: isReachable => {
-      options.log.state(
+      options.log.logStateEvent(
         isReachable ? 'own-upstream-reached' : 'own-upstream-lost',
       );
     },
@@ -125,7 +126,7 @@
   /** Of a service of which one rejects, all report their rejections. */
   const rejectionsOf = (service: string): RejectionFields | undefined => {
     const own = rejections.current();
-    const others = board.serviceLoadOf(service);
+    const others = loadTable.serviceLoadOf(service);
     return isRejecting(own) || others?.isRejecting ? own : undefined;
   };
   return {
@@ -135,10 +136,10 @@
     upstream,
     queue,
     level,
-    board,
-    questions: createLoadQuestions({
-      board,
-      ownUpstreamId: () => directory.atHost(hostKey)?.entry.id,
+    loadTable,
+    loadPoller: createLoadPoller({
+      loadTable,
+      ownUpstreamId: () => directory.findByHost(hostKey)?.entry.id,
       nowMillis,
     }),
     parents: createInFlightParents(),
@@ -152,7 +153,7 @@
     slowness,
     placement: createPlacementChooser({
       directory,
-      board,
+      loadTable,
       hostKey,
       zone,
       region,
@@ -163,7 +164,7 @@
       const madeAtMillis = nowMillis();
       // Asked several times for each request; a turn of the loop needs one.
       if (ownLoad?.madeAtMillis === madeAtMillis) return ownLoad;
-      const known = directory.atHost(hostKey);
+      const known = directory.findByHost(hostKey);
       if (known === undefined) return undefined;
       const load = queue.load();
       const report: LoadReport = {
@@ -179,7 +180,7 @@
         rejections: rejectionsOf(known.entry.service),
       };
       ownLoad = report;
-      board.observe(report);
+      loadTable.observe(report);
       return report;
     },
     configurationVersion: () => configuration.current()?.version ?? 0,
@@ -207,7 +208,7 @@
 }
 
 function logChange(log: DecisionLog, {kind, entry}: DirectoryChange): void {
-  log.state(`upstream-${kind}`, {
+  log.logStateEvent(`upstream-${kind}`, {
     upstream: entry.id,
     bornMillis: entry.bornMillis,
     service: entry.service,
--- a/src/daemon/node_exchanges.ts
+++ b/src/daemon/node_exchanges.ts
@@ -2,7 +2,7 @@
  * Wiring of the requests of one node: what enters, and what other nodes send.
  */
 import type {Disposable} from '../base/lifecycle.js';
-import type {ExecutionEnd} from '../connection/execution.js';
+import type {ExecutionResult} from '../connection/execution.js';
 import type {PeerRelay} from '../connection/peer_relay.js';
 import {createPeerRelay} from '../connection/peer_relay.js';
 import type {
@@ -11,10 +11,10 @@
 } from '../connection/remote_execution.js';
 import {createRemoteExecution} from '../connection/remote_execution.js';
 import {createUpstreamSender} from '../connection/upstream_sender.js';
-import {createAttemptPatience} from '../process/repeats/attempt_patience.js';
+import {createAttemptTimeouts} from '../process/repeats/attempt_timeouts.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
-import {createEntryGate} from '../process/admission/entry_gate.js';
-import type {LoadReport} from '../process/admission/load_board.js';
+import {createEntryAdmission} from '../process/admission/entry_admission.js';
+import type {LoadReport} from '../process/admission/load_table.js';
 import type {NodeMetrics} from '../process/log/node_metrics.js';
 import type {
   Endpoint,
@@ -22,14 +22,14 @@
 } from '../process/settings/node_settings.js';
 import type {StopPlan} from '../process/stop/stop_plan.js';
 import {createWeightedTargets} from '../process/placement/weighted_targets.js';
-import {createKnownDocuments} from '../process/membership/known_documents.js';
+import {createDocumentCache} from '../process/membership/document_cache.js';
 import type {UpstreamEntry} from '../process/membership/upstream_entry.js';
 import {createWatcherSelection} from '../process/membership/watcher_selection.js';
 import type {LoadFields} from '../protocol/hop_messages.js';
 import type {WireHeaders} from '../protocol/wire_headers.js';
 import type {AttemptedRequest} from '../request/attempted_request.js';
-import {createAttempts} from '../request/attempts.js';
-import {createEntryAnswers} from '../request/entry_answers.js';
+import {createAttemptRunner} from '../request/attempt_runner.js';
+import {createEntryResponder} from '../request/entry_responder.js';
 import type {InboundExchanges} from '../request/inbound_exchange.js';
 import {createInboundExchanges} from '../request/inbound_exchange.js';
 import type {LocalCall, LocalExecution} from '../request/local_execution.js';
@@ -41,15 +41,15 @@
 import {createRepeatRules} from '../request/repeat_rules.js';
 import type {CrashHandling} from './crash_handling.js';
 import {startCrashHandling} from './crash_handling.js';
-import type {NodeDecisions} from './node_decisions.js';
+import type {NodeComponents} from './node_components.js';
 import type {QuotaHandling} from './quota_handling.js';
 import {startQuotaHandling} from './quota_handling.js';
 
 /** What the exchanges need. */
 export interface NodeExchangesOptions {
   readonly settings: () => NodeSettings;
-  readonly names: WireHeaders;
-  readonly decisions: NodeDecisions;
+  readonly wireHeaders: WireHeaders;
+  readonly components: NodeComponents;
   readonly log: DecisionLog;
   readonly metrics: NodeMetrics;
   readonly stop: StopPlan;
@@ -73,7 +73,7 @@
   /** Loads for a node that asks for them. */
   loads(): readonly LoadFields[];
   /** Asks about services whose loads are heard of no more. */
-  askLoads(): void;
+  pollLoads(): void;
   /** Requests at the own upstream or waiting for it. */
   readonly executingCount: number;
 }
@@ -85,10 +85,10 @@
 export function createNodeExchanges(
   options: NodeExchangesOptions,
 ): NodeExchanges {
-  const {settings, names, decisions, nowMillis, random} = options;
-  const {upstream, queue, level, parents} = decisions;
-  const sender = createUpstreamSender(settings().upstream, names);
-  const started = upstream.onStarted(sender.dropIdle);
+  const {settings, wireHeaders, components, nowMillis, random} = options;
+  const {upstream, queue, level, parents} = components;
+  const sender = createUpstreamSender(settings().upstream, wireHeaders);
+  const started = upstream.onStarted(sender.closeIdleConnections);
   const remote = createRemote(options, {
     onCrashReport: (peer, report) => {
       crashes.gossip.receiveAnswer(peer, report);
@@ -104,24 +104,24 @@
     send: remote.sendCrashReport,
     onCrash: upstream.markUnreachable,
   });
-  const quotas = startQuotaHandling({...options, ...decisions});
+  const quotas = startQuotaHandling({...options, ...components});
   const execution = createLocalExecution({
     upstream,
     queue,
     level,
-    rejections: decisions.rejections,
-    slowness: decisions.slowness,
+    rejections: components.rejections,
+    slowness: components.slowness,
     parents,
     crashes: crashes.detector,
     quarantine: crashes.quarantine,
     sender,
-    budget: decisions.budget,
-    trees: decisions.trees,
+    budget: components.budget,
+    trees: components.trees,
     ownService: () => settings().service,
     nowMillis,
     onMisdirected: (call, actualId) => {
       options.metrics.recordMisdirected();
-      options.log.request('misdirected', {
+      options.log.logRequestEvent('misdirected', {
         requestId: call.attemptId,
         rootId: call.origin.rootId,
         upstream: call.upstreamId,
@@ -135,29 +135,29 @@
       executingCount += 1;
       const end = await execution.execute(call);
       executingCount -= 1;
-      decisions.reportOwnLoad();
+      components.reportOwnLoad();
       return end;
     },
   };
   const open = createOpenRequests(options.log, nowMillis);
   const outbound = createOutboundExchanges({
-    ...decisions,
-    names,
+    ...components,
+    wireHeaders,
     open,
     stop: options.stop,
     ownService: () => settings().service,
-    gate: createEntryGate(decisions.board, service =>
-      decisions.directory
-        .ready(service)
+    entryAdmission: createEntryAdmission(components.loadTable, service =>
+      components.directory
+        .listReady(service)
         .some(({entry}) => !remote.isLost(entry)),
     ),
     targets: createWeightedTargets(random),
-    quotas: quotas.exchange,
-    attempts: createAttempts({
-      placement: decisions.placement,
-      rules: createRepeatRules({...decisions, nowMillis}),
+    quotas: quotas.enforcer,
+    attempts: createAttemptRunner({
+      placement: components.placement,
+      rules: createRepeatRules({...components, nowMillis}),
       quarantine: crashes.quarantine,
-      patience: createAttemptPatience(),
+      attemptTimeouts: createAttemptTimeouts(),
       stop: options.stop,
       hostKey: settings().hostKey,
       local,
@@ -171,13 +171,13 @@
         logRetry(options, request, reason);
       },
     }),
-    answers: createEntryAnswers({
+    responder: createEntryResponder({
       log: options.log,
       metrics: options.metrics,
-      notes: names.notes,
+      notes: wireHeaders.notes,
       stop: options.stop,
-      configurationVersion: decisions.configurationVersion,
-      levelOf: decisions.board.levelOf,
+      configurationVersion: components.configurationVersion,
+      levelOf: components.loadTable.levelOf,
       nowMillis,
       random,
     }),
@@ -185,9 +185,9 @@
   });
   const inbound = createInboundExchanges({
     execution: local,
-    peerPositions: decisions.peerPositions,
-    ownLoad: decisions.reportOwnLoad,
-    otherLoads: () => otherLoads(decisions),
+    peerPositions: components.peerPositions,
+    ownLoad: components.reportOwnLoad,
+    otherLoads: () => otherLoads(components),
     nowMillis,
     onEnd: (call, end) => {
       logEnd(options, call, end);
@@ -201,10 +201,10 @@
     crashes,
     quotas,
     loads: inbound.loads,
-    askLoads: () => {
-      for (const service of decisions.questions.due()) {
+    pollLoads: () => {
+      for (const service of components.loadPoller.dueServices()) {
         const entry = askedOf(options, remote, service);
-        if (entry !== undefined) remote.askLoads(entry);
+        if (entry !== undefined) remote.queryLoads(entry);
       }
     },
     get executingCount() {
@@ -221,34 +221,34 @@
 }
 
 function createRelay(
-  {decisions, settings, log, nowMillis}: NodeExchangesOptions,
+  {components, settings, log, nowMillis}: NodeExchangesOptions,
   remote: RemoteExecution,
 ): PeerRelay {
   const {hostKey, zone} = settings();
   return createPeerRelay({
     selection: createWatcherSelection({
-      hosts: decisions.directory.hosts,
+      hosts: components.directory.hosts,
       ownHostKey: hostKey,
       zone,
       nowMillis,
     }),
-    documents: createKnownDocuments(),
-    send: remote.askChanges,
-    onAsked: (entry, end) => {
+    documents: createDocumentCache(),
+    send: remote.queryChanges,
+    onPolled: (entry, end) => {
       if (end !== 'failed') return;
-      log.request('relay-failed', {peer: entry.node.address});
+      log.logRequestEvent('relay-failed', {peer: entry.node.address});
     },
   });
 }
 
 /** Any that replies: the one asked knows of the others of its service. */
 function askedOf(
-  {decisions, settings, random}: NodeExchangesOptions,
+  {components, settings, random}: NodeExchangesOptions,
   remote: RemoteExecution,
   service: string,
 ): UpstreamEntry | undefined {
-  const entries = decisions.directory
-    .ready(service)
+  const entries = components.directory
+    .listReady(service)
     .map(upstream => upstream.entry)
     .filter(entry => entry.hostKey !== settings().hostKey)
     .filter(entry => !remote.isLost(entry));
@@ -257,10 +257,10 @@
 
 /** Nodes beside all other upstreams. */
 function otherNodes({
-  decisions,
+  components,
   settings,
 }: NodeExchangesOptions): readonly Endpoint[] {
-  return [...decisions.directory.hosts()]
+  return [...components.directory.hosts()]
     .filter(({entry}) => entry.hostKey !== settings().hostKey)
     .map(({entry}) => entry.node);
 }
@@ -273,19 +273,19 @@
   }: Pick<RemoteExecutionOptions, 'onCrashReport' | 'onPeerFound'>,
 ): RemoteExecution {
   return createRemoteExecution({
-    board: options.decisions.board,
-    peerPositions: options.decisions.peerPositions,
+    loadTable: options.components.loadTable,
+    peerPositions: options.components.peerPositions,
     nowMillis: options.nowMillis,
     onPeerLost: (peer, hopsCount) => {
-      options.log.request('peer-lost', {peer: peer.address, hopsCount});
+      options.log.logRequestEvent('peer-lost', {peer: peer.address, hopsCount});
     },
     onPeerFound: peer => {
-      options.log.request('peer-found', {peer: peer.address});
+      options.log.logRequestEvent('peer-found', {peer: peer.address});
       onPeerFound(peer);
     },
     onCrashReport,
-    onLinkLost: (peer, hopsCount) => {
-      options.log.request('connection-replaced', {
+    onConnectionReplaced: (peer, hopsCount) => {
+      options.log.logRequestEvent('connection-replaced', {
         peer: peer.address,
         hopsCount,
       });
@@ -293,9 +293,13 @@
   });
 }
 
-function countAttempt(options: NodeExchangesOptions, end: ExecutionEnd): void {
+function countAttempt(
+  options: NodeExchangesOptions,
+  end: ExecutionResult,
+): void {
   if (end.kind === 'refused') options.metrics.recordRefusal(end.reason);
-  else if (end.kind === 'unknown') options.metrics.recordUnknown(end.reason);
+  else if (end.kind === 'unknown')
+    options.metrics.recordUnknownOutcome(end.reason);
 }
 
 function logRetry(
@@ -303,7 +307,7 @@
   request: AttemptedRequest,
   reason: string,
 ): void {
-  options.log.request('retry', {
+  options.log.logRequestEvent('retry', {
     requestId: request.call.attemptId,
     route: request.route.name,
     service: request.service,
@@ -315,11 +319,11 @@
 function logEnd(
   options: NodeExchangesOptions,
   call: LocalCall,
-  end: ExecutionEnd,
+  end: ExecutionResult,
 ): void {
   if (end.kind === 'answered') return;
-  const {queue, level} = options.decisions;
-  options.log.request('not-executed', {
+  const {queue, level} = options.components;
+  options.log.logRequestEvent('not-executed', {
     requestId: call.attemptId,
     rootId: call.origin.rootId,
     outcome: end.kind,
@@ -330,9 +334,9 @@
 }
 
 /** What has been heard of other upstreams that shed. */
-function otherLoads(decisions: NodeDecisions): readonly LoadReport[] {
+function otherLoads(decisions: NodeComponents): readonly LoadReport[] {
   const own = decisions.reportOwnLoad();
-  return decisions.board
+  return decisions.loadTable
     .shedding()
     .filter(report => report.upstreamId !== own?.upstreamId)
     .slice(0, REPORTED_LOADS_COUNT);
--- a/src/daemon/node_upkeep.ts
+++ b/src/daemon/node_maintenance.ts
@@ -7,15 +7,15 @@
 import {LEVEL_WINDOW_MILLIS} from '../process/admission/admission_level.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
 import type {NodeMetrics} from '../process/log/node_metrics.js';
-import type {NodeDecisions} from './node_decisions.js';
+import type {NodeComponents} from './node_components.js';
 
 /** What upkeep needs. */
-export interface NodeUpkeepOptions {
-  readonly decisions: NodeDecisions;
+export interface NodeMaintenanceOptions {
+  readonly components: NodeComponents;
   readonly service: () => string;
   readonly busyCount: () => number;
   /** Asks about loads that are heard of no more. */
-  readonly askLoads: () => void;
+  readonly pollLoads: () => void;
   readonly log: DecisionLog;
   readonly metrics: NodeMetrics;
 }
@@ -27,14 +27,16 @@
 const EXPIRE_MILLIS = 500;
 
 /** Starts the upkeep of a node. */
-export function startNodeUpkeep(options: NodeUpkeepOptions): Disposable {
+export function startNodeMaintenance(
+  options: NodeMaintenanceOptions,
+): Disposable {
   const store = createDisposableStore();
   const add = (intervalMillis: number, onTick: () => void): void => {
     store.add(createIntervalTimer(intervalMillis, onTick));
   };
   add(LEVEL_WINDOW_MILLIS, () => {
     moveLevel(options);
-    options.askLoads();
+    options.pollLoads();
   });
   add(EXPIRE_MILLIS, () => {
     expireRecords(options);
@@ -45,42 +47,46 @@
   return store;
 }
 
-function moveLevel(options: NodeUpkeepOptions): void {
-  const {level, queue, board} = options.decisions;
+function moveLevel(options: NodeMaintenanceOptions): void {
+  const {level, queue, loadTable} = options.components;
   const before = level.level();
   level.update({
     ...queue.load(),
     windowMillis: LEVEL_WINDOW_MILLIS,
-    service: board.serviceLoadOf(options.service()),
+    service: loadTable.serviceLoadOf(options.service()),
   });
   const after = level.level();
   if (before === after) return;
-  options.log.request('level-changed', {before, after, ...queue.load()});
+  options.log.logRequestEvent('level-changed', {
+    before,
+    after,
+    ...queue.load(),
+  });
 }
 
-function expireRecords(options: NodeUpkeepOptions): void {
-  const {metrics, decisions} = options;
-  const {directory, placement, board, queue, level} = decisions;
-  directory.expire();
+function expireRecords(options: NodeMaintenanceOptions): void {
+  const {metrics, components} = options;
+  const {directory, placement, loadTable, queue, level} = components;
+  directory.removeExpired();
   placement.expire();
-  board.expire();
+  loadTable.expire();
   metrics.setGauge('queue_length', queue.load().queuedCount);
   metrics.setGauge('in_flight', queue.load().inFlightCount);
   metrics.setGauge('admission_level', level.level());
   metrics.setGauge('known_upstreams', directory.count());
-  metrics.setGauge('configuration_version', decisions.configurationVersion());
+  metrics.setGauge('configuration_version', components.configurationVersion());
 }
 
-function writeStatus(options: NodeUpkeepOptions): void {
+function writeStatus(options: NodeMaintenanceOptions): void {
   const {queue, level, directory, budget, configurationVersion} =
-    options.decisions;
-  options.log.state('status', {
+    options.components;
+  options.log.logStateEvent('status', {
     ...queue.load(),
     admissionLevel: level.level(),
     busyCount: options.busyCount(),
     upstreamsCount: directory.count(),
     configurationVersion: configurationVersion(),
-    repeatBudget: JSON.stringify(budget.use()),
+    repeatBudget: JSON.stringify(budget.usage()),
     storeCalls: JSON.stringify(options.metrics.storeCalls()),
   });
 }
--- a/src/daemon/node_program.ts
+++ b/src/daemon/node_program.ts
@@ -4,7 +4,7 @@
 import {statSync} from 'node:fs';
 import {createServer} from 'node:http';
 import {describeError} from '../base/errors.js';
-import {createLoopClock} from '../base/loop_clock.js';
+import {createCachedClock} from '../base/cached_clock.js';
 import {createIntervalTimer} from '../base/lifecycle.js';
 import {openOperatorListener} from '../connection/operator_listener.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
@@ -25,7 +25,7 @@
   /** Reads the settings of now; throws what is wrong with them. */
   readonly readSettings: () => NodeSettings;
   readonly createDocuments: (settings: NodeSettings) => PublishedDocuments;
-  readonly names: WireHeaders;
+  readonly wireHeaders: WireHeaders;
   /** Path at which readiness alone is asked for. */
   readonly readyPath: string;
 }
@@ -50,21 +50,23 @@
 ): Promise<void> {
   const settings = readFirstSettings(options);
   if (settings === undefined) return;
-  const nowMillis = createLoopClock(() => performance.now());
+  const nowMillis = createCachedClock(() => performance.now());
   const log = createDecisionLog(settings.nodeName, nowMillis);
   const metrics = createNodeMetrics();
   const {service, zone} = settings;
-  log.state('node-starting', {service, availabilityZone: zone});
+  log.logStateEvent('node-starting', {service, availabilityZone: zone});
   process.on('uncaughtException', error => {
-    log.state('internal-error', {message: error.stack ?? error.message});
+    log.logStateEvent('internal-error', {
+      message: error.stack ?? error.message,
+    });
   });
   process.on('unhandledRejection', error => {
-    log.state('internal-error', {message: describeError(error)});
+    log.logStateEvent('internal-error', {message: describeError(error)});
   });
   try {
     const node = await startServiceNode({
       settings,
-      names: options.names,
+      wireHeaders: options.wireHeaders,
       documents: options.createDocuments(settings),
       log,
       metrics,
@@ -76,11 +78,11 @@
     }
     await openOperators(settings, node, metrics.text, log);
     const startMillis = Math.round(nowMillis());
-    log.state('node-started', {startMillis, ...node.ports});
+    log.logStateEvent('node-started', {startMillis, ...node.ports});
     watchSettings(options, node, log);
     watchStop(node, log);
   } catch (error) {
-    log.state('start-failed', {message: describeError(error)});
+    log.logStateEvent('start-failed', {message: describeError(error)});
     endProcess(EXIT_FAILURE);
   }
 }
@@ -132,7 +134,7 @@
       configuration: node.configuration,
     });
   } catch (error) {
-    log.state('operators-unavailable', {message: describeError(error)});
+    log.logStateEvent('operators-unavailable', {message: describeError(error)});
   }
 }
 
@@ -146,9 +148,12 @@
   const reload = (cause: string): void => {
     try {
       const outcome = node.applySettings(options.readSettings());
-      log.state('settings-reloaded', {cause, outcome});
+      log.logStateEvent('settings-reloaded', {cause, outcome});
     } catch (error) {
-      log.state('settings-refused', {cause, message: describeError(error)});
+      log.logStateEvent('settings-refused', {
+        cause,
+        message: describeError(error),
+      });
     }
   };
   process.on('SIGHUP', () => {
@@ -172,13 +177,13 @@
   for (const signal of STOP_SIGNALS) {
     process.on(signal, () => {
       signalsCount += 1;
-      log.state('node-stopping', {signal, signalsCount});
+      log.logStateEvent('node-stopping', {signal, signalsCount});
       if (signalsCount > 1) {
         endProcess(EXIT_FAILURE);
         return;
       }
       void node.stop().then(() => {
-        log.state('node-stopped');
+        log.logStateEvent('node-stopped');
         endProcess(0);
       });
     });
--- a/src/daemon/quota_handling.ts
+++ b/src/daemon/quota_handling.ts
@@ -5,26 +5,26 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Disposable} from '../base/lifecycle.js';
 import {createDisposableStore, createIntervalTimer} from '../base/lifecycle.js';
-import type {QuestionEnd} from '../connection/question_links.js';
-import {createQuestionLinks} from '../connection/question_links.js';
+import type {PeerQueryResult} from '../connection/peer_query_client.js';
+import {createPeerQueryClient} from '../connection/peer_query_client.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
 import type {ConfigurationHolder} from '../process/membership/configuration_holder.js';
 import type {UpstreamDirectory} from '../process/membership/upstream_directory.js';
 import type {UpstreamEntry} from '../process/membership/upstream_entry.js';
-import {createCoordinatorChoice} from '../process/quota/coordinator_choice.js';
+import {createCoordinatorChooser} from '../process/quota/coordinator_chooser.js';
 import {createQuotaCoordinator} from '../process/quota/quota_coordinator.js';
 import type {
-  QuotaExchange,
-  ReportEnd,
-} from '../process/quota/quota_exchange.js';
+  QuotaEnforcer,
+  ReportResult,
+} from '../process/quota/quota_enforcer.js';
 import {
-  createQuotaExchange,
+  createQuotaEnforcer,
   MAX_WAIT_MILLIS,
   REPORT_INTERVAL_MILLIS,
-} from '../process/quota/quota_exchange.js';
-import type {KnownAllowance} from '../process/quota/quota_gate.js';
-import {createQuotaGate} from '../process/quota/quota_gate.js';
-import {createZoneReach} from '../process/quota/zone_reach.js';
+} from '../process/quota/quota_enforcer.js';
+import type {CachedAllowance} from '../process/quota/quota_limiter.js';
+import {createQuotaLimiter} from '../process/quota/quota_limiter.js';
+import {createZoneReachability} from '../process/quota/zone_reachability.js';
 import type {NodeSettings} from '../process/settings/node_settings.js';
 import {FRAME_KIND} from '../protocol/hop_frames.js';
 import {
@@ -47,7 +47,7 @@
 
 /** Quotas of one node. */
 export interface QuotaHandling extends Disposable {
-  readonly exchange: QuotaExchange;
+  readonly enforcer: QuotaEnforcer;
   /** Answers a report of another node; `undefined` if it cannot be read. */
   answer(report: Buffer): Buffer | undefined;
   /** State for operators. */
@@ -60,7 +60,7 @@
   readonly coordinatedCount: number;
   /** Part of the fleet that this node can reach. */
   readonly reachableRatio: number;
-  readonly limited: readonly KnownAllowance[];
+  readonly limited: readonly CachedAllowance[];
 }
 
 const REPORTER_ID_BYTES = 6;
@@ -76,16 +76,16 @@
   const store = createDisposableStore();
   const ownHostKey = settings().hostKey;
   const bound = () => settings().quotaBound;
-  const links = createQuestionLinks({
-    answerKind: FRAME_KIND.quotas,
+  const links = createPeerQueryClient({
+    responseKind: FRAME_KIND.quotas,
     nowMillis,
   });
   store.add(links);
-  const reach = createZoneReach(nowMillis);
-  const choice = createCoordinatorChoice<UpstreamEntry>({
+  const reachability = createZoneReachability(nowMillis);
+  const coordinatorChooser = createCoordinatorChooser<UpstreamEntry>({
     hosts: () => coordinatorsAmong(directory),
     ownHostKey,
-    reach,
+    reachability,
     nowMillis,
     random,
   });
@@ -93,67 +93,67 @@
     quotaOf: name =>
       configuration.current()?.organisations?.findByName(name)?.quota,
     bound,
-    isFirstChoice: choice.isFirstChoice,
-    reachableRatio: choice.reachableRatio,
+    isFirstChoice: coordinatorChooser.isFirstChoice,
+    reachableRatio: coordinatorChooser.reachableRatio,
     nowMillis,
   });
-  const gate = createQuotaGate({
+  const limiter = createQuotaLimiter({
     bound,
     nodesCount: directory.count,
     nowMillis,
     random,
   });
-  const exchange = createQuotaExchange<UpstreamEntry>({
+  const enforcer = createQuotaEnforcer<UpstreamEntry>({
     reporterId: randomBytes(REPORTER_ID_BYTES).toString('hex'),
     ownHostKey,
     zone: settings().zone,
-    reach,
-    gate,
+    reachability,
+    limiter,
     coordinator,
-    choice,
+    coordinatorChooser,
     send: async (host, report) => {
-      const answer = await links.ask(host.node, encodeQuotaReport(report));
+      const answer = await links.query(host.node, encodeQuotaReport(report));
       const end = reportEndOf(answer);
       if (end.kind !== 'answered') {
         const {hostKey: coordinatorHost} = host;
-        log.request('quota-report-unanswered', {
+        log.logRequestEvent('quota-report-unanswered', {
           coordinatorHost,
           how: end.kind,
         });
       }
       return end;
     },
-    patience: () => sleep(MAX_WAIT_MILLIS),
+    waitTimeout: () => sleep(MAX_WAIT_MILLIS),
   });
-  store.add(createIntervalTimer(REPORT_INTERVAL_MILLIS, exchange.tick));
+  store.add(createIntervalTimer(REPORT_INTERVAL_MILLIS, enforcer.tick));
   store.add(
     createIntervalTimer(EXPIRE_INTERVAL_MILLIS, () => {
-      gate.expire();
+      limiter.expire();
       coordinator.expire();
-      links.expire();
+      links.closeIdleConnections();
     }),
   );
   return {
-    exchange,
+    enforcer,
     answer: payload => {
       const report = decodeQuotaReport(payload);
       if (report === undefined) {
-        log.request('quota-report-malformed', {});
+        log.logRequestEvent('quota-report-malformed', {});
         return undefined;
       }
-      return encodeQuotaAllowances(exchange.receive(report));
+      return encodeQuotaAllowances(enforcer.receive(report));
     },
     state: () => ({
       coordinatedCount: coordinator.accountsCount,
-      reachableRatio: choice.reachableRatio(),
-      limited: gate.limited(),
+      reachableRatio: coordinatorChooser.reachableRatio(),
+      limited: limiter.limited(),
     }),
     dispose: store.dispose,
   };
 }
 
 /** A node of an earlier version answers with something else. */
-function reportEndOf(answer: QuestionEnd): ReportEnd {
+function reportEndOf(answer: PeerQueryResult): ReportResult {
   if (typeof answer === 'string') return {kind: answer};
   const allowances = decodeQuotaAllowances(answer);
   return allowances === undefined
--- a/src/daemon/service_node.ts
+++ b/src/daemon/service_node.ts
@@ -3,22 +3,22 @@
  */
 import {randomUUID} from 'node:crypto';
 import {createDisposableStore} from '../base/lifecycle.js';
-import type {ShownConfiguration} from '../connection/operator_listener.js';
+import type {PublishedConfiguration} from '../connection/operator_listener.js';
 import type {HopListener} from '../connection/hop_listener.js';
 import {openHopListener} from '../connection/hop_listener.js';
-import type {NodeListener} from '../connection/node_listener.js';
-import {openNodeListener} from '../connection/node_listener.js';
+import type {HttpListener} from '../connection/http_listener.js';
+import {openHttpListener} from '../connection/http_listener.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
 import type {NodeMetrics} from '../process/log/node_metrics.js';
-import {endpointText} from '../process/settings/endpoint_text.js';
+import {formatEndpoint} from '../process/settings/format_endpoint.js';
 import type {NodeSettings} from '../process/settings/node_settings.js';
 import type {PublishedDocuments} from '../process/membership/published_documents.js';
 import {createStopPlan} from '../process/stop/stop_plan.js';
 import type {WireHeaders} from '../protocol/wire_headers.js';
 import {startDocumentFeeds} from './document_feeds.js';
-import {createNodeDecisions} from './node_decisions.js';
+import {createNodeComponents} from './node_components.js';
 import {createNodeExchanges} from './node_exchanges.js';
-import {startNodeUpkeep} from './node_upkeep.js';
+import {startNodeMaintenance} from './node_maintenance.js';
 import {runStopSequence} from './stop_sequence.js';
 
 /** Suspects of crashes that the state shows, those with most crashes first. */
@@ -27,7 +27,7 @@
 /** What a node is made of. */
 export interface ServiceNodeOptions {
   readonly settings: NodeSettings;
-  readonly names: WireHeaders;
+  readonly wireHeaders: WireHeaders;
   readonly documents: PublishedDocuments;
   readonly log: DecisionLog;
   readonly metrics: NodeMetrics;
@@ -54,7 +54,7 @@
   /** State for operators, by section. */
   state(): Readonly<Record<string, unknown>>;
   /** The configuration in force. */
-  configuration(): ShownConfiguration | undefined;
+  configuration(): PublishedConfiguration | undefined;
 }
 
 /** Ports of a node's listeners. */
@@ -68,21 +68,22 @@
 export async function startServiceNode(
   options: ServiceNodeOptions,
 ): Promise<ServiceNode> {
-  const {settings, names, documents, log, metrics, nowMillis, random} = options;
+  const {settings, wireHeaders, documents, log, metrics, nowMillis, random} =
+    options;
   const store = createDisposableStore();
   let current = settings;
   const stop = createStopPlan(nowMillis);
-  const decisions = createNodeDecisions({
+  const components = createNodeComponents({
     settings: () => current,
     log,
     nowMillis,
     random,
   });
-  const {configuration, directory, queue, level, board} = decisions;
+  const {configuration, directory, queue, level, loadTable} = components;
   const exchanges = createNodeExchanges({
     settings: () => current,
-    names,
-    decisions,
+    wireHeaders,
+    components,
     log,
     metrics,
     stop,
@@ -90,14 +91,14 @@
     random,
   });
   store.add(exchanges);
-  const outbound = await openNodeListener({
+  const outbound = await openHttpListener({
     endpoint: settings.outbound,
     handle: exchanges.outbound.handle,
   });
   const local =
     settings.local === undefined
       ? undefined
-      : await openNodeListener({
+      : await openHttpListener({
           endpoint: settings.local,
           handle: exchanges.outbound.handleLocal,
         });
@@ -107,19 +108,19 @@
     bodyBytes: () => configuration.current()?.limits.bodyBytes ?? Infinity,
     handle: exchanges.inbound.handle,
     loads: exchanges.loads,
-    answerQuestion: exchanges.relay.answer,
+    answerRelayQuery: exchanges.relay.answerQuery,
     receiveCrashReport: exchanges.crashes.gossip.receive,
     answerQuotaReport: exchanges.quotas.answer,
     nowMillis,
     onMalformed: peer => {
-      log.request('malformed-message', {peer});
+      log.logRequestEvent('malformed-message', {peer});
     },
   });
   const feeds = startDocumentFeeds({
     documents,
     configuration,
     directory,
-    peerPositions: decisions.peerPositions,
+    peerPositions: components.peerPositions,
     relay: exchanges.relay,
     log,
     metrics,
@@ -127,7 +128,7 @@
     nowMillis,
     random,
     onLimits: limits => {
-      outbound.setLimits(limits.idleMillis, limits.headerMillis);
+      outbound.setTimeouts(limits.idleMillis, limits.headerMillis);
     },
   });
   store.add(feeds);
@@ -137,11 +138,11 @@
     (local?.busyCount ?? 0) +
     exchanges.executingCount;
   store.add(
-    startNodeUpkeep({
-      decisions,
+    startNodeMaintenance({
+      components,
       service: () => current.service,
       busyCount,
-      askLoads: exchanges.askLoads,
+      pollLoads: exchanges.pollLoads,
       log,
       metrics,
     }),
@@ -162,21 +163,21 @@
     waitingFor,
     stop: async () => {
       stop.begin(current.graceMillis);
-      decisions.upstream.startDraining();
+      components.upstream.startDraining();
       await runStopSequence({
-        parts: {
+        node: {
           busyCount,
           executingCount: () => exchanges.executingCount,
-          giveUpRequests: () => {
-            exchanges.open.describe('given-up-at-stop');
-            exchanges.open.giveUp();
+          cancelRequests: () => {
+            exchanges.open.logAll('given-up-at-stop');
+            exchanges.open.cancelAll();
           },
           closeListeners: () => closeAll([outbound, local, inbound]),
         },
         plan: stop,
         nowMillis,
         onStep: step => {
-          log.state('stop-step', {
+          log.logStateEvent('stop-step', {
             step,
             busyCount: busyCount(),
             openCount: exchanges.open.count,
@@ -184,9 +185,9 @@
           });
         },
       });
-      exchanges.open.describe('unanswered-at-stop');
-      outbound.cutOff();
-      local?.cutOff();
+      exchanges.open.logAll('unanswered-at-stop');
+      outbound.resetUnfinished();
+      local?.resetUnfinished();
       store.dispose();
     },
     applySettings: next => {
@@ -210,11 +211,11 @@
       },
       admission: {...queue.load(), level: level.level()},
       fleet: {
-        configurationVersion: decisions.configurationVersion(),
+        configurationVersion: components.configurationVersion(),
         upstreamsCount: directory.count(),
-        shedding: board.shedding(),
+        shedding: loadTable.shedding(),
       },
-      repeats: {budget: decisions.budget.use()},
+      repeats: {budget: components.budget.usage()},
       quotas: exchanges.quotas.state(),
       quarantine: {
         suspects: exchanges.crashes.evidence
@@ -227,7 +228,7 @@
 }
 
 async function closeAll(
-  listeners: readonly (NodeListener | HopListener | undefined)[],
+  listeners: readonly (HttpListener | HopListener | undefined)[],
 ): Promise<void> {
   await Promise.all(listeners.map(listener => listener?.close()));
 }
@@ -236,6 +237,6 @@
 function addressesOf(settings: NodeSettings): string {
   const {outbound, local, inbound, ready, upstream, store} = settings;
   return [outbound, local, inbound, ready, upstream, store]
-    .map(at => (at === undefined ? '' : endpointText(at)))
+    .map(at => (at === undefined ? '' : formatEndpoint(at)))
     .join(' ');
 }
--- a/src/daemon/stop_sequence.ts
+++ b/src/daemon/stop_sequence.ts
@@ -4,20 +4,20 @@
 import type {StopPlan} from '../process/stop/stop_plan.js';
 
 /** What is stopped. */
-export interface StoppedParts {
+export interface StoppableNode {
   /** Requests that were read and not yet answered. */
   busyCount(): number;
   /** Requests at the own upstream or waiting for it. */
   executingCount(): number;
   /** Gives up what has no answer yet; each request is answered at once. */
-  giveUpRequests(): void;
+  cancelRequests(): void;
   /** Accepts nothing more; resolves when the last connection has ended. */
   closeListeners(): Promise<void>;
 }
 
 /** What a stop needs. */
 export interface StopOptions {
-  readonly parts: StoppedParts;
+  readonly node: StoppableNode;
   readonly plan: StopPlan;
   readonly nowMillis: () => number;
   /** A step of the stop begins. */
@@ -38,18 +38,18 @@
  * come back knows more than who is refused a connection.
  */
 export async function runStopSequence(options: StopOptions): Promise<void> {
-  const {parts, plan, nowMillis, onStep} = options;
+  const {node, plan, nowMillis, onStep} = options;
   const isIdle = (): boolean =>
-    parts.busyCount() === 0 && parts.executingCount() === 0;
+    node.busyCount() === 0 && node.executingCount() === 0;
   onStep('taking');
-  await until(options, plan.takingUntilMillis, () => false);
+  await until(options, plan.acceptingUntilMillis, () => false);
   onStep('finishing');
   await until(options, plan.finishingUntilMillis, isIdle);
   // The process ends whatever is at work: a final answer tells the client so, and
   // what has not run may be sent again; a closed connection would tell nothing.
-  parts.giveUpRequests();
+  node.cancelRequests();
   onStep('closing');
-  const closed = parts.closeListeners();
+  const closed = node.closeListeners();
   // A request that came in at the last moment is still answered: what was read
   // and then cut by the end of the process would be lost.
   const endMillis = Math.min(plan.endMillis, nowMillis() + CLOSE_MILLIS);
--- a/src/emulator/caller.ts
+++ b/src/emulator/caller.ts
@@ -3,7 +3,7 @@
  */
 import type {Agent} from 'node:http';
 import {performance} from 'node:perf_hooks';
-import {OWN_HEADERS} from '../protocol/own_headers.js';
+import {FULMARHOLLOW_HEADERS} from '../protocol/fulmarhollow_headers.js';
 import {digestOf, findAnswerProblem} from './answer_body.js';
 import {REQUEST_PARAMETER} from './execution_record.js';
 import type {HttpAnswer} from './http_support.js';
@@ -87,7 +87,7 @@
 function headersOf(request: CallerRequest): Record<string, string> {
   return {
     host: request.service,
-    [OWN_HEADERS.timeoutMillis]: String(request.timeoutMillis),
+    [FULMARHOLLOW_HEADERS.timeoutMillis]: String(request.timeoutMillis),
   };
 }
 
@@ -110,12 +110,14 @@
   return {
     kind: !isSuccess ? 'failed' : problem === undefined ? 'answered' : 'wrong',
     statusCode: answer.statusCode,
-    outcome: (header(OWN_HEADERS.notes.outcome) || undefined) as
+    outcome: (header(FULMARHOLLOW_HEADERS.notes.outcome) || undefined) as
       Outcome | undefined,
-    reason: header(OWN_HEADERS.notes.reason),
-    retriesSpentCount: Number(header(OWN_HEADERS.notes.repeatsCount) || '0'),
+    reason: header(FULMARHOLLOW_HEADERS.notes.reason),
+    retriesSpentCount: Number(
+      header(FULMARHOLLOW_HEADERS.notes.repeatsCount) || '0',
+    ),
     policyVersion: Number(
-      header(OWN_HEADERS.notes.configurationVersion) || '0',
+      header(FULMARHOLLOW_HEADERS.notes.configurationVersion) || '0',
     ),
     retryAfterMillis:
       retryAfter === '' ? undefined : Number(retryAfter) * MILLIS_PER_SECOND,
--- a/src/emulator/fleet_launcher.ts
+++ b/src/emulator/fleet_launcher.ts
@@ -7,8 +7,8 @@
 import {dirname, join} from 'node:path';
 import {fileURLToPath} from 'node:url';
 import {BaseError, describeError} from '../base/errors.js';
-import {VERSION_HEADER} from '../connection/operator_listener.js';
-import type {HostList, PublishedState} from '../version/host_list.js';
+import {CONFIGURATION_VERSION_HEADER} from '../connection/operator_listener.js';
+import type {HostList, PublishedHostState} from '../version/host_list.js';
 import type {Policy} from '../version/policy.js';
 import type {LinkMode} from './faulty_link.js';
 import type {FleetHost} from './fleet_host.js';
@@ -35,8 +35,10 @@
   /** Publishes bytes that need not be a valid policy. */
   publishPolicyBytes(bytes: Uint8Array, version: number): Promise<void>;
   /** Publishes the hosts with these states; others are left out. */
-  publishHosts(states: ReadonlyMap<string, PublishedState>): Promise<HostList>;
-  publishedStates(): ReadonlyMap<string, PublishedState>;
+  publishHosts(
+    states: ReadonlyMap<string, PublishedHostState>,
+  ): Promise<HostList>;
+  publishedStates(): ReadonlyMap<string, PublishedHostState>;
   /** Fronts of the platform are named like availability zones. */
   setPlatformFault(
     frontName: string,
@@ -76,7 +78,7 @@
   const directory = await mkdtemp(join(tmpdir(), 'fulmarhollow-fleet-'));
   const block = await claimPortBlock();
   const hosts = new Map<string, FleetHost>();
-  const states = new Map<string, PublishedState>();
+  const states = new Map<string, PublishedHostState>();
   const zoneNames = plan.policy.availabilityZones.map(zone => zone.name);
   let platform: ManagedProcess | undefined;
   let revision = 0;
@@ -149,7 +151,7 @@
   };
 
   const publishHosts = async (
-    nextStates: ReadonlyMap<string, PublishedState>,
+    nextStates: ReadonlyMap<string, PublishedHostState>,
   ): Promise<HostList> => {
     const entries = [...nextStates].map(([name, state]) => ({
       ...findHost(name).published,
@@ -185,7 +187,7 @@
     const answer = await readAdmin(name, '/configuration');
     if (answer?.statusCode !== 200) return NO_POLICY;
     return {
-      version: Number(answer.headers[VERSION_HEADER] ?? '0'),
+      version: Number(answer.headers[CONFIGURATION_VERSION_HEADER] ?? '0'),
       digest: answer.headers.etag ?? '',
     };
   };
--- a/src/emulator/stand_in_upstream.ts
+++ b/src/emulator/stand_in_upstream.ts
@@ -5,7 +5,7 @@
 import * as http from 'node:http';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
-import {OWN_HEADERS} from '../protocol/own_headers.js';
+import {FULMARHOLLOW_HEADERS} from '../protocol/fulmarhollow_headers.js';
 import {createAnswerBody, digestOf} from './answer_body.js';
 import type {ExecutionRecord} from './execution_record.js';
 import {REQUEST_PARAMETER, createExecutionRecord} from './execution_record.js';
@@ -147,7 +147,9 @@
 
   const refuse = (incoming: Incoming): void => {
     counts.refusedCount += 1;
-    sendPlain(incoming.response, 503, {[OWN_HEADERS.notExecuted]: '1'});
+    sendPlain(incoming.response, 503, {
+      [FULMARHOLLOW_HEADERS.notExecuted]: '1',
+    });
   };
 
   const execute = async (
--- a/src/emulator/upstream_calls.ts
+++ b/src/emulator/upstream_calls.ts
@@ -5,7 +5,7 @@
 import * as http from 'node:http';
 import type {IncomingMessage} from 'node:http';
 import type {Disposable} from '../base/lifecycle.js';
-import {OWN_HEADERS} from '../protocol/own_headers.js';
+import {FULMARHOLLOW_HEADERS} from '../protocol/fulmarhollow_headers.js';
 import {digestOf, findAnswerProblem} from './answer_body.js';
 import type {Execution} from './execution_record.js';
 import {REQUEST_PARAMETER, callTarget} from './execution_record.js';
@@ -59,7 +59,7 @@
     origin: CallOrigin,
     mode: ContextMode,
   ): string | undefined => {
-    const own = origin.request.headers[OWN_HEADERS.attemptId] as
+    const own = origin.request.headers[FULMARHOLLOW_HEADERS.attemptId] as
       string | undefined;
     const previous = previousId;
     previousId = own;
@@ -150,6 +150,6 @@
   id: string | undefined,
 ): http.OutgoingHttpHeaders {
   const headers: http.OutgoingHttpHeaders = {host: call.service};
-  if (id !== undefined) headers[OWN_HEADERS.attemptId] = id;
+  if (id !== undefined) headers[FULMARHOLLOW_HEADERS.attemptId] = id;
   return headers;
 }
--- a/src/process/admission/admission_level.ts
+++ b/src/process/admission/admission_level.ts
@@ -11,7 +11,7 @@
  * ones are given a queue while the slow ones have none.
  */
 import {BUCKETS_COUNT, LEAST_IMPORTANT, rankOf} from './importance.js';
-import type {ServiceLoad} from './load_board.js';
+import type {ServiceLoad} from './load_table.js';
 import {createRankDemand} from './rank_demand.js';
 
 /** State of the queue at the end of a window. */
@@ -109,9 +109,9 @@
   /** The highest level whose expected work is at most so much. */
   const highestWithin = (work: number, from: number, to: number): number => {
     let candidate = from;
-    let sum = demand.expectedAt(from);
+    let sum = demand.workUpTo(from);
     while (candidate < to) {
-      sum += demand.ofBucket(candidate + 1);
+      sum += demand.bucketWork(candidate + 1);
       if (sum > work) break;
       candidate += 1;
     }
@@ -134,7 +134,7 @@
   const shareLeft = (state: WindowState): number => {
     const rank = rankOf(level);
     if (rank === 0) return 1;
-    const before = demand.expectedAt(rank * BUCKETS_COUNT - 1);
+    const before = demand.workUpTo(rank * BUCKETS_COUNT - 1);
     return Math.max(MIN_SHARE_RATIO, 1 - before / capacityOf(state));
   };
 
@@ -142,7 +142,7 @@
   const floorLevel = (state: WindowState): number => {
     const before = waitingRank() * BUCKETS_COUNT - 1;
     const limit = CERTAIN_EXCESS_RATIO * TARGET_RATIO * capacityOf(state);
-    if (demand.expectedAt(before) > limit) return LOWEST_LEVEL;
+    if (demand.workUpTo(before) > limit) return LOWEST_LEVEL;
     return Math.min(level, Math.max(LOWEST_LEVEL, before));
   };
 
@@ -154,7 +154,7 @@
     const cause = Math.min(demand.lastLevel(), demand.causingLevel());
     const kept = Math.max(MIN_KEPT_RATIO, 1 - excessMillis / DRAIN_MILLIS);
     const wanted = Math.min(
-      demand.expectedAt(cause) * kept,
+      demand.workUpTo(cause) * kept,
       OWN_EXCESS_RATIO * TARGET_RATIO * capacityOf(state),
     );
     level = Math.min(level, demand.lastLevel());
@@ -165,8 +165,8 @@
    * By what is busy, and what has been let in since adds to it.
    */
   const grow = (state: WindowState): void => {
-    const expected = demand.expectedAt(level);
-    const settled = demand.expectedAt(Math.min(level, demand.settledLevel()));
+    const expected = demand.workUpTo(level);
+    const settled = demand.workUpTo(Math.min(level, demand.settledLevel()));
     const busy = state.service?.busyRatio ?? settled / capacityOf(state);
     const room = TARGET_RATIO / Math.max(MIN_BUSY_RATIO, busy);
     const wanted = Math.min(
--- a/src/process/admission/call_trees.ts
+++ b/src/process/admission/call_trees.ts
@@ -19,7 +19,7 @@
    */
   observeFailed(routeName: string, counts: CallCounts): void;
   /** Mean calls of one request for each service; empty if not known. */
-  countsOf(routeName: string): CallCounts;
+  callCountsOf(routeName: string): CallCounts;
 }
 
 /** Weight of one new sample: about the last thirty requests count. */
@@ -61,20 +61,26 @@
         if (!tree.has(service)) tree.set(service, sample * SAMPLE_WEIGHT);
       }
     },
-    countsOf: routeName =>
+    callCountsOf: routeName =>
       trees.get(routeName) ?? failedTrees.get(routeName) ?? NO_CALLS,
   };
 }
 
 /** What one more attempt at a service causes: itself, and the calls below it. */
-export function attemptCounts(tree: CallCounts, service: string): CallCounts {
+export function attemptCallCounts(
+  tree: CallCounts,
+  service: string,
+): CallCounts {
   const counts = new Map(tree);
   counts.set(service, Math.max(1, counts.get(service) ?? 0));
   return counts;
 }
 
 /** Calls of a tree without the request at its root. */
-export function callsBelow(tree: CallCounts, service: string): CallCounts {
+export function downstreamCallCounts(
+  tree: CallCounts,
+  service: string,
+): CallCounts {
   const counts = new Map(tree);
   counts.set(service, Math.max(0, (counts.get(service) ?? 1) - 1));
   return counts;
--- a/src/process/admission/entry_gate.ts
+++ b/src/process/admission/entry_admission.ts
@@ -9,13 +9,13 @@
  * way there have worked for it.
  */
 import type {CallCounts} from './call_trees.js';
-import type {LoadBoard} from './load_board.js';
+import type {LoadTable} from './load_table.js';
 
 /** The gate. */
-export interface EntryGate {
+export interface EntryAdmission {
   /** Why a request stays out; `undefined` if it is let in. */
   shedCause(
-    request: GatedRequest,
+    request: AdmissionRequest,
     service: string,
     tree: CallCounts,
   ): ShedCause | undefined;
@@ -28,7 +28,7 @@
 }
 
 /** What the gate needs to know of a request. */
-export interface GatedRequest {
+export interface AdmissionRequest {
   readonly importance: number;
   readonly attemptId: string;
 }
@@ -43,10 +43,10 @@
 const NEEDED_COUNT = 0.9;
 
 /** Creates a gate over what has been heard of loads and upstreams. */
-export function createEntryGate(
-  board: LoadBoard,
+export function createEntryAdmission(
+  board: LoadTable,
   hasUpstream: (service: string) => boolean,
-): EntryGate {
+): EntryAdmission {
   return {
     shedCause: ({importance}, service, tree) => {
       const isOut = (name: string): boolean => importance > board.levelOf(name);
--- a/src/process/admission/importance.ts
+++ b/src/process/admission/importance.ts
@@ -52,7 +52,7 @@
 }
 
 /** Place of an attempt in [0, 1), independent of its bucket. */
-export function spreadOf(attemptId: string): number {
+export function uniformHashOf(attemptId: string): number {
   return (fnvHash(attemptId) & SPREAD_MASK) / (SPREAD_MASK + 1);
 }
 
--- a/src/process/admission/load_questions.ts
+++ b/src/process/admission/load_poller.ts
@@ -6,19 +6,19 @@
  * picture ages, it lets everything in again, and what it lets in fails deeper
  * down.
  */
-import type {LoadBoard} from './load_board.js';
+import type {LoadTable} from './load_table.js';
 
 /** Questions of one node. */
-export interface LoadQuestions {
+export interface LoadPoller {
   /** A request was refused for the load of a service. */
-  noteShed(service: string): void;
+  recordShed(service: string): void;
   /** Services to ask about now; each is asked about once an interval. */
-  due(): readonly string[];
+  dueServices(): readonly string[];
 }
 
 /** What questions need. */
-export interface LoadQuestionsOptions {
-  readonly board: LoadBoard;
+export interface LoadPollerOptions {
+  readonly loadTable: LoadTable;
   /** The upstream of this host, whose load is known without asking. */
   readonly ownUpstreamId: () => string | undefined;
   readonly nowMillis: () => number;
@@ -34,25 +34,25 @@
 const SHED_MILLIS = 1000;
 
 /** Creates the questions of a node that has turned nothing away. */
-export function createLoadQuestions({
-  board,
+export function createLoadPoller({
+  loadTable,
   ownUpstreamId,
   nowMillis,
-}: LoadQuestionsOptions): LoadQuestions {
+}: LoadPollerOptions): LoadPoller {
   const shedMillis = new Map<string, number>();
   const askedMillis = new Map<string, number>();
 
   const isDue = (service: string, now: number): boolean => {
-    const heardMillis = board.heardMillis(service, ownUpstreamId());
+    const heardMillis = loadTable.lastReportMillis(service, ownUpstreamId());
     const asked = askedMillis.get(service) ?? -Infinity;
     return now - Math.max(heardMillis, asked) >= MAX_AGE_MILLIS;
   };
 
   return {
-    noteShed: service => {
+    recordShed: service => {
       shedMillis.set(service, nowMillis());
     },
-    due: () => {
+    dueServices: () => {
       const now = nowMillis();
       const services: string[] = [];
       for (const [service, millis] of shedMillis) {
--- a/src/process/admission/load_board.ts
+++ b/src/process/admission/load_table.ts
@@ -13,7 +13,7 @@
 }
 
 /** Board of reports. */
-export interface LoadBoard {
+export interface LoadTable {
   observe(report: LoadReport): void;
   find(upstreamId: string): LoadReport | undefined;
   /** Level of a service: half of its capacity has this one or a higher one. */
@@ -24,14 +24,14 @@
    * When the newest report of a service was made, other than of one upstream;
    * `-Infinity` without any.
    */
-  heardMillis(service: string, exceptId?: string): number;
+  lastReportMillis(service: string, exceptId?: string): number;
   /** Fresh reports of services that shed or reject, the newest first. */
   shedding(): readonly LoadReport[];
   /**
    * Drops what was reported of an upstream so far, which has started again: the
    * load of its start before would keep requests away from it, or draw them.
    */
-  forget(upstreamId: string): void;
+  discardReports(upstreamId: string): void;
   /** Forgets what has aged. */
   expire(): void;
 }
@@ -73,7 +73,7 @@
 }
 
 /** Creates an empty board. */
-export function createLoadBoard(nowMillis: () => number): LoadBoard {
+export function createLoadTable(nowMillis: () => number): LoadTable {
   const reports = new Map<string, LoadReport>();
   const cache = new Map<string, Summary>();
   /** Reports from before this time are of an earlier start. */
@@ -99,14 +99,14 @@
       if (madeAtMillis < (startedMillis.get(upstreamId) ?? -Infinity)) return;
       reports.set(upstreamId, report);
     },
-    forget: upstreamId => {
+    discardReports: upstreamId => {
       reports.delete(upstreamId);
       startedMillis.set(upstreamId, nowMillis());
     },
     find: upstreamId => reports.get(upstreamId),
     levelOf: service => summaryOf(service).load?.level ?? LEAST_IMPORTANT,
     serviceLoadOf: service => summaryOf(service).load,
-    heardMillis: (service, exceptId) => {
+    lastReportMillis: (service, exceptId) => {
       let newest = -Infinity;
       for (const report of reports.values()) {
         if (report.service !== service) continue;
--- a/src/process/admission/rank_demand.ts
+++ b/src/process/admission/rank_demand.ts
@@ -14,9 +14,9 @@
   /** Ends a window during which this level was published. */
   endWindow(level: number): void;
   /** Work that one bucket is expected to bring in a window. */
-  ofBucket(importance: number): number;
+  bucketWork(importance: number): number;
   /** Work that all buckets up to a level are expected to bring in a window. */
-  expectedAt(level: number): number;
+  workUpTo(level: number): number;
   /** Level whose buckets have all been in for several windows. */
   settledLevel(): number;
   /** Least important value of the last rank that brings work. */
@@ -89,8 +89,8 @@
     waitingLevel: () => Math.max(...recentLevels),
     causingLevel: () =>
       Math.max(...recentLevels.slice(0, CAUSING_WINDOWS_COUNT)),
-    ofBucket: importance => ofRank(rankOf(importance)),
-    expectedAt: level => {
+    bucketWork: importance => ofRank(rankOf(importance)),
+    workUpTo: level => {
       let sum = 0;
       for (let rank = 0; rank <= rankOf(level); rank += 1) {
         sum += ofRank(rank) * bucketsIn(rank, level);
--- a/src/process/admission/upstream_queue.ts
+++ b/src/process/admission/upstream_queue.ts
@@ -23,7 +23,7 @@
 }
 
 /** What became of an offer. */
-export type OfferVerdict = 'started' | 'queued' | 'refused';
+export type OfferResult = 'started' | 'queued' | 'refused';
 
 /** What the queue holds. */
 export interface QueueLoad {
@@ -36,11 +36,11 @@
 
 /** Queue in front of one upstream. */
 export interface UpstreamQueue {
-  offer(request: SlotRequest): OfferVerdict;
+  offer(request: SlotRequest): OfferResult;
   /** Gives back a slot that was held for a time. */
   release(heldMillis: number): void;
   /** Gives back a slot whose time says nothing about the upstream. */
-  releaseUnused(): void;
+  releaseWithoutSample(): void;
   /** Takes a waiting request out; false if it is not waiting. */
   withdraw(request: SlotRequest): boolean;
   /** Ends the wait of every request. */
@@ -101,7 +101,7 @@
   const waitFor = (position: number): number =>
     ((position + 1) * averageMillis) / limitCount;
 
-  const enqueue = (request: SlotRequest): OfferVerdict => {
+  const enqueue = (request: SlotRequest): OfferResult => {
     const position = positionOf(waiting, request);
     if (nowMillis() + waitFor(position) > request.startByMillis) {
       return 'refused';
@@ -127,7 +127,7 @@
       inFlightCount -= 1;
       startNext();
     },
-    releaseUnused: () => {
+    releaseWithoutSample: () => {
       inFlightCount -= 1;
       startNext();
     },
--- a/src/process/log/decision_log.ts
+++ b/src/process/log/decision_log.ts
@@ -17,9 +17,9 @@
    * A decision that touches one request, or what others may cause as often as
    * they like; left out beyond the bound.
    */
-  abstract request(event: string, fields: DecisionFields): void;
+  abstract logRequestEvent(event: string, fields: DecisionFields): void;
   /** A change of what the process believes, or of its life; always written. */
-  abstract state(event: string, fields?: DecisionFields): void;
+  abstract logStateEvent(event: string, fields?: DecisionFields): void;
 }
 
 /**
@@ -71,13 +71,13 @@
   };
 
   return new (class extends DecisionLog {
-    override request(event: string, fields: DecisionFields): void {
+    override logRequestEvent(event: string, fields: DecisionFields): void {
       const suppressedCount = take(event);
       if (suppressedCount === undefined) return;
       const more = suppressedCount > 0 ? {suppressedCount} : undefined;
       lines.info({event, ...fields, ...more}, event);
     }
-    override state(event: string, fields?: DecisionFields): void {
+    override logStateEvent(event: string, fields?: DecisionFields): void {
       const {droppedCount} = output;
       const more = droppedCount > 0 ? {droppedLinesCount: droppedCount} : {};
       lines.info({event, ...fields, ...more}, event);
--- a/src/process/log/node_metrics.ts
+++ b/src/process/log/node_metrics.ts
@@ -3,18 +3,18 @@
  */
 import {Counter, Gauge, Registry} from 'prom-client';
 import type {HopReason} from '../../protocol/hop_messages.js';
-import {createAnswerTimes} from './answer_times.js';
+import {createResponseTimes} from './response_times.js';
 
 /** Metrics of one node. */
 export interface NodeMetrics {
   /** A request ended at the entry with a status and after a time. */
-  recordAnswer(routeName: string, statusCode: number, millis: number): void;
+  recordResponse(routeName: string, statusCode: number, millis: number): void;
   recordShed(service: string): void;
   /** A request was refused since its organisation is over its quota. */
   recordOverQuota(): void;
   recordRetry(reason: HopReason): void;
   recordRefusal(reason: HopReason): void;
-  recordUnknown(reason: HopReason): void;
+  recordUnknownOutcome(reason: HopReason): void;
   /** The own upstream was handed a request and says that it is another one. */
   recordMisdirected(): void;
   /** The own upstream crashed while it worked on requests. */
@@ -33,7 +33,7 @@
   /** A call to the store ended, by what came of it. */
   recordStoreCall(result: string): void;
   /** Another node sent changes of the documents. */
-  recordRelayed(): void;
+  recordRelayedChanges(): void;
   /** Calls to the store so far, by what came of them. */
   storeCalls(): Readonly<Record<string, number>>;
   setGauge(name: GaugeName, value: number): void;
@@ -68,7 +68,7 @@
     labelNames: readonly T[],
   ): Counter<T> =>
     new Counter({name: `${PREFIX}${name}`, help, labelNames, registers});
-  const answers = createAnswerTimes(
+  const answers = createResponseTimes(
     `${PREFIX}answer_millis`,
     'Time from a request to its answer at the entry',
     BUCKETS_MILLIS,
@@ -142,7 +142,7 @@
   const storeCallCounts: Record<string, number> = {};
   const gauges = new Map<GaugeName, Gauge>();
   return {
-    recordAnswer: answers.record,
+    recordResponse: answers.record,
     recordShed: service => {
       sheds.inc({service});
     },
@@ -155,7 +155,7 @@
     recordRefusal: reason => {
       refusals.inc({reason});
     },
-    recordUnknown: reason => {
+    recordUnknownOutcome: reason => {
       unknowns.inc({reason});
     },
     recordMisdirected: () => {
@@ -173,7 +173,7 @@
     recordEntered: isUpstreams => {
       enteredCounts[isUpstreams ? 'upstream' : 'client'] += 1;
     },
-    recordRelayed: () => {
+    recordRelayedChanges: () => {
       relayed.inc();
     },
     recordStoreRestored: () => {
--- a/src/process/log/answer_times.ts
+++ b/src/process/log/response_times.ts
@@ -6,7 +6,7 @@
  */
 
 /** Times to answers. */
-export interface AnswerTimes {
+export interface ResponseTimes {
   record(routeName: string, statusCode: number, millis: number): void;
   /** All histograms in the Prometheus text format. */
   text(): string;
@@ -19,11 +19,11 @@
 }
 
 /** Creates times of a name, with upper bounds in ascending order. */
-export function createAnswerTimes(
+export function createResponseTimes(
   name: string,
   help: string,
   boundsMillis: readonly number[],
-): AnswerTimes {
+): ResponseTimes {
   const byRoute = new Map<string, Map<number, Tally>>();
 
   const tallyOf = (routeName: string, statusCode: number): Tally => {
--- a/src/process/membership/configuration_holder.ts
+++ b/src/process/membership/configuration_holder.ts
@@ -4,13 +4,13 @@
 import type {RouteTable} from '../../version/route_table.js';
 
 /** What became of an offered configuration. */
-export type ConfigurationVerdict = 'accepted' | 'not-newer';
+export type ConfigurationUpdateResult = 'accepted' | 'not-newer';
 
 /** Holds the configuration in force. */
 export interface ConfigurationHolder {
   /** `undefined` until the first one was accepted. */
   current(): RouteTable | undefined;
-  offer(table: RouteTable): ConfigurationVerdict;
+  update(table: RouteTable): ConfigurationUpdateResult;
 }
 
 /** Creates a holder without a configuration. */
@@ -18,7 +18,7 @@
   let current: RouteTable | undefined;
   return {
     current: () => current,
-    offer: table => {
+    update: table => {
       // A read that was answered late may bring an older version after a newer
       // one; requests would then follow routes that were already withdrawn.
       if (current !== undefined && table.version <= current.version) {
--- a/src/process/membership/left_starts.ts
+++ b/src/process/membership/departed_upstreams.ts
@@ -10,10 +10,10 @@
 import {compareStarts} from './upstream_start.js';
 
 /** Starts that have left, by id. */
-export interface LeftStarts {
-  note(entry: UpstreamEntry): void;
+export interface DepartedUpstreams {
+  add(entry: UpstreamEntry): void;
   /** There is a later entry under this id. */
-  forget(id: string): void;
+  delete(id: string): void;
   has(id: string): boolean;
   /** Whether an entry is no later than what its start had published as it left. */
   isOutdated(entry: UpstreamEntry): boolean;
@@ -23,10 +23,10 @@
 const LEFT_STARTS_COUNT = 256;
 
 /** Creates a memory without starts. */
-export function createLeftStarts(): LeftStarts {
+export function createDepartedUpstreams(): DepartedUpstreams {
   const lastEntries = new Map<string, UpstreamEntry>();
   return {
-    note: entry => {
+    add: entry => {
       lastEntries.set(entry.id, entry);
       if (lastEntries.size <= LEFT_STARTS_COUNT) return;
       for (const oldestId of lastEntries.keys()) {
@@ -34,7 +34,7 @@
         return;
       }
     },
-    forget: id => {
+    delete: id => {
       lastEntries.delete(id);
     },
     has: id => lastEntries.has(id),
--- a/src/process/membership/known_documents.ts
+++ b/src/process/membership/document_cache.ts
@@ -7,27 +7,27 @@
  */
 import type {
   DocumentChange,
-  DocumentRead,
+  DocumentBatch,
   SourcePosition,
 } from './document_source.js';
 import {NO_POSITION} from './document_source.js';
 
 /** Documents of one node, up to a position. */
-export interface KnownDocuments {
+export interface DocumentCache {
   readonly position: SourcePosition;
   /** All documents were read. */
-  noteRead(read: DocumentRead): void;
+  recordRead(read: DocumentBatch): void;
   /** Changes lead on from the position. */
-  noteChanges(read: DocumentRead): void;
+  recordChanges(read: DocumentBatch): void;
   /** Changes after a position; `undefined` if some of them are not known. */
-  since(position: SourcePosition): readonly DocumentChange[] | undefined;
+  changesSince(position: SourcePosition): readonly DocumentChange[] | undefined;
 }
 
 /** Deletions that are remembered; who is further behind reads all documents. */
 const MAX_DELETIONS_COUNT = 500;
 
 /** Creates the documents of a node that has read nothing. */
-export function createKnownDocuments(): KnownDocuments {
+export function createDocumentCache(): DocumentCache {
   let documents = new Map<string, DocumentChange>();
   let deletions: DocumentChange[] = [];
   /** From where on all deletions are known. */
@@ -44,7 +44,7 @@
     get position() {
       return position;
     },
-    noteRead: read => {
+    recordRead: read => {
       const before = documents;
       documents = new Map(read.documents.map(item => [item.key, item]));
       if (read.position.epoch === position.epoch && floorRevision > 0) {
@@ -57,7 +57,7 @@
       }
       position = read.position;
     },
-    noteChanges: read => {
+    recordChanges: read => {
       for (const change of read.documents) {
         if (change.text === undefined) {
           documents.delete(change.key);
@@ -68,7 +68,7 @@
       }
       position = read.position;
     },
-    since: asked => {
+    changesSince: asked => {
       if (asked.epoch !== position.epoch) return undefined;
       if (asked.revision < floorRevision) return undefined;
       return [...deletions, ...documents.values()]
--- a/src/process/membership/document_relay.ts
+++ b/src/process/membership/document_relay.ts
@@ -1,10 +1,10 @@
 /**
  * Changes of the published documents that come from another node.
  */
-import type {DocumentRead, SourcePosition} from './document_source.js';
+import type {DocumentBatch, SourcePosition} from './document_source.js';
 
 /** How a poll of another node ended. */
-export type RelayEnd =
+export type RelayPollResult =
   /** It is this node that watches the source. */
   | 'watch'
   /** The node that was asked did not answer, or does not watch itself. */
@@ -12,7 +12,7 @@
   /** It knows more, but not all that this one lacks: a read is required. */
   | 'read'
   /** The changes that it sent. */
-  | DocumentRead;
+  | DocumentBatch;
 
 /** Gets changes from other nodes. */
 export interface DocumentRelay {
@@ -20,10 +20,13 @@
    * Asks the node whose turn it is for what came after a position; `isSourceLost`:
    * this node cannot watch itself.
    */
-  ask(position: SourcePosition, isSourceLost: boolean): Promise<RelayEnd>;
+  poll(
+    position: SourcePosition,
+    isSourceLost: boolean,
+  ): Promise<RelayPollResult>;
   /** Whether this node's own watches of the source go well from now on. */
-  noteWatching(isWatching: boolean): void;
+  setWatching(isWatching: boolean): void;
   /** All documents were read. */
-  noteRead(read: DocumentRead): void;
-  noteChanges(read: DocumentRead): void;
+  recordRead(read: DocumentBatch): void;
+  recordChanges(read: DocumentBatch): void;
 }
--- a/src/process/membership/document_source.ts
+++ b/src/process/membership/document_source.ts
@@ -43,7 +43,7 @@
 }
 
 /** What one call returned. */
-export interface DocumentRead {
+export interface DocumentBatch {
   readonly documents: readonly DocumentChange[];
   /** To watch from. */
   readonly position: SourcePosition;
@@ -52,7 +52,7 @@
 /** Reads documents below a key prefix. */
 export interface DocumentSource {
   /** All documents of now. */
-  read(prefix: string): Promise<DocumentRead>;
+  read(prefix: string): Promise<DocumentBatch>;
   /**
    * Changes after a revision, as soon as there is one; rejects when the signal
    * aborts it. The epoch of the answer may be another one than the revision's:
@@ -63,6 +63,6 @@
     afterRevision: number,
     waitMillis: number,
     signal?: AbortSignal,
-  ): Promise<DocumentRead | 'history-lost'>;
+  ): Promise<DocumentBatch | 'history-lost'>;
   dispose(): void;
 }
--- a/src/process/membership/follow_pace.ts
+++ b/src/process/membership/follower_pacing.ts
@@ -11,25 +11,25 @@
  */
 
 /** Waits of one follower. */
-export interface FollowPace {
+export interface FollowerPacing {
   /** How long the next watch waits for a change. */
-  watchWaitMillis(): number;
+  watchTimeoutMillis(): number;
   /** Pause between a watch that brought changes and the next one. */
-  gatherMillis(): number;
+  batchDelayMillis(): number;
   /** Pause before a read that all nodes owe at the same moment. */
-  spreadMillis(): number;
+  readJitterMillis(): number;
   /** Pause after a call that took so long and failed. */
-  retryMillis(tookMillis: number): number;
+  retryDelayMillis(tookMillis: number): number;
   /** A call was answered. */
-  noteAnswered(): void;
+  recordSuccess(): void;
 }
 
 /** What a pace needs. */
-export interface FollowPaceOptions {
+export interface FollowerPacingOptions {
   /** Bound from a change's acknowledgement to its effect here. */
   readonly applyWithinMillis: number;
   /** What the bound must leave for nodes that ask this one; 0 if none does. */
-  readonly passOnMillis?: number;
+  readonly relayReserveMillis?: number;
   /** Uniform in [0, 1). */
   readonly random: () => number;
 }
@@ -89,25 +89,27 @@
 const RETRY_SPREAD_RATIO = 0.2;
 
 /** Creates the pace of one follower. */
-export function createFollowPace(options: FollowPaceOptions): FollowPace {
-  const {applyWithinMillis, passOnMillis = 0, random} = options;
+export function createFollowerPacing(
+  options: FollowerPacingOptions,
+): FollowerPacing {
+  const {applyWithinMillis, relayReserveMillis = 0, random} = options;
   let failuresCount = 0;
   let isAfterPause = false;
   return {
-    watchWaitMillis: () => {
+    watchTimeoutMillis: () => {
       if (failuresCount > 0) return LOST_WAIT_MILLIS;
       if (!isAfterPause) return REST_WAIT_MILLIS;
       isAfterPause = false;
       return FIRST_WAIT_MILLIS + random() * FIRST_WAIT_SPREAD_MILLIS;
     },
-    gatherMillis: () => {
+    batchDelayMillis: () => {
       isAfterPause = true;
       const pauseMillis =
-        applyWithinMillis - GATHER_RESERVE_MILLIS - passOnMillis;
+        applyWithinMillis - GATHER_RESERVE_MILLIS - relayReserveMillis;
       return Math.max(0, pauseMillis - random() * GATHER_SPREAD_MILLIS);
     },
-    spreadMillis: () => random() * READ_SPREAD_MILLIS,
-    retryMillis: tookMillis => {
+    readJitterMillis: () => random() * READ_SPREAD_MILLIS,
+    retryDelayMillis: tookMillis => {
       const stepMillis = Math.min(
         MAX_RETRY_MILLIS,
         FIRST_RETRY_MILLIS * 2 ** failuresCount,
@@ -116,7 +118,7 @@
       const spread = 1 + RETRY_SPREAD_RATIO * (2 * random() - 1);
       return Math.max(FIRST_RETRY_MILLIS, stepMillis * spread - tookMillis);
     },
-    noteAnswered: () => {
+    recordSuccess: () => {
       failuresCount = 0;
     },
   };
--- a/src/process/membership/missing_upstreams.ts
+++ b/src/process/membership/missing_upstreams.ts
@@ -8,7 +8,7 @@
  */
 
 /** What a missing entry means. */
-export type MissingVerdict = 'gone' | 'kept' | 'awaited';
+export type MissingEntryState = 'gone' | 'kept' | 'awaited';
 
 /** Upstreams whose entries are missing. */
 export interface MissingUpstreams {
@@ -17,15 +17,15 @@
    * An entry is missing; its removal was reported, or a read did not bring it.
    * `awaited` if it was missing before.
    */
-  note(id: string, wasRemoved: boolean): MissingVerdict;
+  markMissing(id: string, wasRemoved: boolean): MissingEntryState;
   /** The entry is there, or its upstream has been removed. */
   forget(id: string): void;
   /** Ids of those whose grace period is over. */
-  due(): readonly string[];
-  noteSourceLost(): void;
-  noteSourceRegained(): void;
+  expiredIds(): readonly string[];
+  markSourceLost(): void;
+  markSourceRecovered(): void;
   /** The source came back from an older copy. */
-  noteSourceRestored(): void;
+  markSourceRestored(): void;
 }
 
 interface Missing {
@@ -43,7 +43,7 @@
  * not hold, are back within two seconds if the upstream lives; one that is still
  * missing then is gone.
  */
-export const REAPPEAR_MILLIS = 2000;
+export const REAPPEAR_GRACE_MILLIS = 2000;
 
 /**
  * The same for an entry whose removal was reported after the return: it may have
@@ -75,12 +75,12 @@
     get count() {
       return missing.size;
     },
-    note: (id, wasRemoved) => {
+    markMissing: (id, wasRemoved) => {
       const now = nowMillis();
       const before = missing.get(id);
       if (now >= (before?.untilMillis ?? keepUntilMillis)) return 'gone';
       if (before !== undefined) return 'awaited';
-      const keptMillis = wasRemoved ? LAPSED_MILLIS : REAPPEAR_MILLIS;
+      const keptMillis = wasRemoved ? LAPSED_MILLIS : REAPPEAR_GRACE_MILLIS;
       const untilMillis = Math.min(keepUntilMillis, now + keptMillis);
       missing.set(id, {untilMillis, wasRemoved});
       return 'kept';
@@ -88,7 +88,7 @@
     forget: id => {
       missing.delete(id);
     },
-    due: () => {
+    expiredIds: () => {
       const now = nowMillis();
       // While the source is unavailable no return can be reported.
       const isLost = lostSinceMillis !== undefined;
@@ -97,18 +97,19 @@
         .filter(([, {untilMillis}]) => now >= untilMillis)
         .map(([id]) => id);
     },
-    noteSourceLost: () => {
+    markSourceLost: () => {
       lostSinceMillis ??= nowMillis();
     },
-    noteSourceRegained: () => {
+    markSourceRecovered: () => {
       const now = nowMillis();
       const lostMillis = now - (lostSinceMillis ?? now);
       lostSinceMillis = undefined;
       extend(untilMillis => untilMillis + lostMillis);
-      if (lostMillis > LAPSE_MILLIS) keepUntilMillis = now + REAPPEAR_MILLIS;
+      if (lostMillis > LAPSE_MILLIS)
+        keepUntilMillis = now + REAPPEAR_GRACE_MILLIS;
     },
-    noteSourceRestored: () => {
-      keepUntilMillis = nowMillis() + REAPPEAR_MILLIS;
+    markSourceRestored: () => {
+      keepUntilMillis = nowMillis() + REAPPEAR_GRACE_MILLIS;
       extend(() => keepUntilMillis);
     },
   };
