--- a/src/process/membership/peer_positions.ts
+++ b/src/process/membership/peer_positions.ts
@@ -20,15 +20,15 @@
 /** Positions of one node. */
 export interface PeerPositions {
   /** Position up to which documents are in force here; none before the first read. */
-  readonly known: SourcePosition;
+  readonly applied: SourcePosition;
   /** Another node has later documents in force than this one. */
   readonly isStale: boolean;
   /** Another node has documents up to this position in force, or reports none. */
-  noteTold(position: SourcePosition | undefined): void;
+  recordPeerPosition(position: SourcePosition | undefined): void;
   /** A watch has brought everything up to this position. */
-  noteWatched(position: SourcePosition): void;
+  recordWatched(position: SourcePosition): void;
   /** A read has: whoever told of a later one is ahead of the source, or wrong. */
-  noteRead(position: SourcePosition): void;
+  recordRead(position: SourcePosition): void;
   /** Calls the listener once this node is behind another one; at once if it is. */
   onStale(listener: () => void): Disposable;
 }
@@ -42,13 +42,13 @@
   const isStale = (): boolean => isLaterPosition(told, known);
 
   return {
-    get known() {
+    get applied() {
       return known;
     },
     get isStale() {
       return isStale();
     },
-    noteTold: position => {
+    recordPeerPosition: position => {
       if (position === undefined || !isLaterPosition(position, told)) return;
       told = position;
       if (!isStale()) return;
@@ -56,10 +56,10 @@
       listeners.clear();
       for (const listener of waiting) listener();
     },
-    noteWatched: position => {
+    recordWatched: position => {
       known = laterPosition(position, known);
     },
-    noteRead: position => {
+    recordRead: position => {
       known = position;
       // A position that the source does not bear out would cause one read after
       // the other.
--- a/src/process/membership/reply_bound.ts
+++ b/src/process/membership/reply_timeout.ts
@@ -8,7 +8,7 @@
  */
 
 /** Bound of one node, over all others. */
-export interface ReplyBound {
+export interface ReplyTimeout {
   /** A node that was asked replied after this time. */
   observe(millis: number): void;
   /** A reply that takes longer does not come. */
@@ -32,7 +32,7 @@
 const SAFETY_RATIO = 3;
 
 /** Creates a bound that has seen no replies. */
-export function createReplyBound(): ReplyBound {
+export function createReplyTimeout(): ReplyTimeout {
   let samplesCount = 0;
   let meanMillis = 0;
   let deviationMillis = 0;
--- a/src/process/membership/upstream_directory.ts
+++ b/src/process/membership/upstream_directory.ts
@@ -1,10 +1,13 @@
 /**
  * The upstreams a node knows, by service, with what is published about each.
  */
-import {createMissingUpstreams, REAPPEAR_MILLIS} from './missing_upstreams.js';
+import {
+  createMissingUpstreams,
+  REAPPEAR_GRACE_MILLIS,
+} from './missing_upstreams.js';
 import type {KnownUpstream} from './known_upstream.js';
 import type {UpstreamEntry} from './upstream_entry.js';
-import {createLeftStarts} from './left_starts.js';
+import {createDepartedUpstreams} from './departed_upstreams.js';
 import type {UpstreamIndex} from './upstream_index.js';
 import {indexUpstreams} from './upstream_index.js';
 import {compareStarts} from './upstream_start.js';
@@ -34,32 +37,32 @@
   /** Takes new or changed entries. */
   put(entries: readonly UpstreamEntry[]): void;
   /** Notes that entries under these ids cannot be used. */
-  contest(ids: readonly string[]): void;
+  markContested(ids: readonly string[]): void;
   remove(ids: readonly string[]): void;
   /** Replaces all; ids that are missing, and not contested, have left. */
-  replace(
+  replaceAll(
     entries: readonly UpstreamEntry[],
     contestedIds?: readonly string[],
   ): void;
   /** Records that the source does not answer. */
   markSourceLost(): void;
   /** Records that the source answers again after a loss. */
-  markSourceRegained(): void;
+  markSourceRecovered(): void;
   /** Records that the source was restored from an older copy. */
   markSourceRestored(): void;
   /** Looks again at which services are named. */
   reindex(): void;
   /** Forgets entries whose time to reappear is over. */
-  expire(): void;
+  removeExpired(): void;
   /** Upstreams of a service that may take new work. */
-  ready(service: string): readonly KnownUpstream[];
+  listReady(service: string): readonly KnownUpstream[];
   find(id: string): KnownUpstream | undefined;
   /** Whether an upstream was known and has left, or a later one has its host. */
   hasLeft(id: string): boolean;
   /** The latest upstream of each host. */
   hosts(): Iterable<KnownUpstream>;
   /** The latest upstream of a host. */
-  atHost(hostKey: string): KnownUpstream | undefined;
+  findByHost(hostKey: string): KnownUpstream | undefined;
   /** Upstreams of all services, one for each node of the fleet. */
   count(): number;
 }
@@ -70,7 +73,7 @@
   /** Called when lookups show the change already. */
   readonly onChange: (change: DirectoryChange) => void;
   /** Whether the configuration in force names a service; left out, it names all. */
-  readonly isServiceNamed?: (service: string) => boolean;
+  readonly isServiceConfigured?: (service: string) => boolean;
   /** Interval at which an upstream writes its entry. */
   readonly heartbeatMillis?: number | undefined;
   /** Called whenever lookups may show something new. */
@@ -98,15 +101,15 @@
 export function createUpstreamDirectory(
   options: UpstreamDirectoryOptions,
 ): UpstreamDirectory {
-  const {nowMillis, isServiceNamed = () => true} = options;
+  const {nowMillis, isServiceConfigured = () => true} = options;
   const {heartbeatMillis = DEFAULT_HEARTBEAT_MILLIS} = options;
   const contestedMillis = heartbeatMillis * CONTESTED_HEARTBEATS_COUNT;
   const known = new Map<string, KnownUpstream>();
   const missing = createMissingUpstreams(nowMillis);
   const contests = new Map<string, Contest>();
-  const leftStarts = createLeftStarts();
+  const leftStarts = createDepartedUpstreams();
   let changes: DirectoryChange[] = [];
-  let index: UpstreamIndex = indexUpstreams([], isServiceNamed);
+  let index: UpstreamIndex = indexUpstreams([], isServiceConfigured);
   let copiedUntilMillis = 0;
 
   const note = (kind: DirectoryChange['kind'], entry: UpstreamEntry): void => {
@@ -129,9 +132,9 @@
   /** Listeners look things up, so they are called when all is in place. */
   const settle = (): void => {
     const before = index;
-    index = indexUpstreams(known.values(), isServiceNamed);
+    index = indexUpstreams(known.values(), isServiceConfigured);
     noteNew('superseded', index.supersededIds, before.supersededIds);
-    noteNew('unnamed', index.unnamedIds, before.unnamedIds);
+    noteNew('unnamed', index.unconfiguredIds, before.unconfiguredIds);
     const told = changes;
     changes = [];
     for (const change of told) options.onChange(change);
@@ -151,7 +154,7 @@
   const store = (entry: UpstreamEntry, before?: KnownUpstream): void => {
     missing.forget(entry.id);
     contests.delete(entry.id);
-    leftStarts.forget(entry.id);
+    leftStarts.delete(entry.id);
     const now = nowMillis();
     known.set(entry.id, {
       entry,
@@ -174,7 +177,7 @@
 
   /** One start serves one service; an entry that names another is not its own. */
   const losesName = (entry: UpstreamEntry, before: UpstreamEntry): boolean =>
-    isServiceNamed(before.service) && !isServiceNamed(entry.service);
+    isServiceConfigured(before.service) && !isServiceConfigured(entry.service);
 
   const putSameStart = (entry: UpstreamEntry, before: KnownUpstream): void => {
     if (isOvertaken(entry, before.entry, mayBeCopied())) return;
@@ -226,14 +229,14 @@
     missing.forget(entry.id);
     contests.delete(entry.id);
     known.delete(entry.id);
-    leftStarts.note(entry);
+    leftStarts.add(entry);
     note('left', entry);
   };
 
   const removeOne = (id: string, wasRemoved: boolean): void => {
     const upstream = known.get(id);
     if (upstream === undefined) return;
-    const verdict = missing.note(id, wasRemoved);
+    const verdict = missing.markMissing(id, wasRemoved);
     if (verdict === 'gone') forget(upstream);
     if (verdict === 'kept') note('kept', upstream.entry);
   };
@@ -252,7 +255,7 @@
       }
       settle();
     },
-    contest: ids => {
+    markContested: ids => {
       for (const id of ids) contestOne(id);
       settle();
     },
@@ -260,7 +263,7 @@
       for (const id of ids) removeOne(id, true);
       settle();
     },
-    replace: (entries, contestedIds = []) => {
+    replaceAll: (entries, contestedIds = []) => {
       const current = entries.filter(entry => !isEarlierCopy(entry));
       const present = new Set([
         ...current.map(entry => entry.id),
@@ -273,27 +276,27 @@
       }
       settle();
     },
-    markSourceLost: missing.noteSourceLost,
-    markSourceRegained: missing.noteSourceRegained,
+    markSourceLost: missing.markSourceLost,
+    markSourceRecovered: missing.markSourceRecovered,
     markSourceRestored: () => {
-      missing.noteSourceRestored();
-      copiedUntilMillis = nowMillis() + REAPPEAR_MILLIS + contestedMillis;
+      missing.markSourceRestored();
+      copiedUntilMillis = nowMillis() + REAPPEAR_GRACE_MILLIS + contestedMillis;
     },
     reindex: settle,
-    expire: () => {
+    removeExpired: () => {
       if (missing.count + contests.size === 0) return;
-      for (const id of missing.due()) {
+      for (const id of missing.expiredIds()) {
         const upstream = known.get(id);
         if (upstream !== undefined) forget(upstream);
       }
       for (const [id, contest] of [...contests]) endContest(id, contest);
       settle();
     },
-    ready: service => index.readyByService.get(service) ?? [],
+    listReady: service => index.readyByService.get(service) ?? [],
     find: id => known.get(id),
     hasLeft: id => leftStarts.has(id) || index.supersededIds.has(id),
     hosts: () => index.latestByHost.values(),
-    atHost: hostKey => index.latestByHost.get(hostKey),
+    findByHost: hostKey => index.latestByHost.get(hostKey),
     count: () => known.size,
   };
 }
--- a/src/process/membership/upstream_index.ts
+++ b/src/process/membership/upstream_index.ts
@@ -13,7 +13,7 @@
   /** Ids of upstreams at whose host a later one has started. */
   readonly supersededIds: ReadonlySet<string>;
   /** Ids of upstreams whose service no configuration names. */
-  readonly unnamedIds: ReadonlySet<string>;
+  readonly unconfiguredIds: ReadonlySet<string>;
 }
 
 /**
@@ -26,11 +26,11 @@
   isServiceNamed: (service: string) => boolean,
 ): UpstreamIndex {
   const named: KnownUpstream[] = [];
-  const unnamedIds = new Set<string>();
+  const unconfiguredIds = new Set<string>();
   for (const upstream of known) {
     const {id, service} = upstream.entry;
     if (isServiceNamed(service)) named.push(upstream);
-    else unnamedIds.add(id);
+    else unconfiguredIds.add(id);
   }
   const latestByHost = latestOf(named);
   const supersededIds = new Set<string>();
@@ -47,7 +47,7 @@
     list.push(upstream);
     readyByService.set(entry.service, list);
   }
-  return {readyByService, latestByHost, supersededIds, unnamedIds};
+  return {readyByService, latestByHost, supersededIds, unconfiguredIds};
 }
 
 function latestOf(
--- a/src/process/membership/watcher_selection.ts
+++ b/src/process/membership/watcher_selection.ts
@@ -13,17 +13,17 @@
 import type {UpstreamEntry} from './upstream_entry.js';
 
 /** What this node does next. */
-export type WatchTurn =
+export type WatchDecision =
   | {readonly kind: 'watch'}
   | {readonly kind: 'ask'; readonly entry: UpstreamEntry};
 
 /** Selection of one node. */
 export interface WatcherSelection {
   /** `isSourceLost`: this node cannot watch, whoever should. */
-  next(isSourceLost: boolean): WatchTurn;
+  decide(isSourceLost: boolean): WatchDecision;
   /** A polled node did not answer, or does not watch itself. */
-  noteFailed(entry: UpstreamEntry): void;
-  noteAnswered(): void;
+  recordFailure(entry: UpstreamEntry): void;
+  recordSuccess(): void;
 }
 
 /** What a selection needs. */
@@ -75,7 +75,7 @@
   };
 
   return {
-    next: isSourceLost => {
+    decide: isSourceLost => {
       if (nowMillis() < onOwnUntilMillis && !isSourceLost) {
         return {kind: 'watch'};
       }
@@ -85,7 +85,7 @@
       }
       return {kind: 'ask', entry};
     },
-    noteFailed: ({hostKey}) => {
+    recordFailure: ({hostKey}) => {
       const now = nowMillis();
       failedUntilMillis.set(hostKey, now + FAILED_MILLIS);
       failuresCount += 1;
@@ -93,7 +93,7 @@
       failuresCount = 0;
       onOwnUntilMillis = now + FAILED_MILLIS;
     },
-    noteAnswered: () => {
+    recordSuccess: () => {
       failuresCount = 0;
     },
   };
--- a/src/process/placement/expected_answer.ts
+++ b/src/process/placement/expected_answer.ts
@@ -1,7 +1,7 @@
 /**
  * When an upstream is expected to answer, by its load and its start.
  */
-import type {LoadReport} from '../admission/load_board.js';
+import type {LoadReport} from '../admission/load_table.js';
 import type {KnownUpstream} from '../membership/known_upstream.js';
 
 /** A cold upstream is taken to need this many times its usual time. */
@@ -19,33 +19,33 @@
 const WAIT_WEIGHT = 4;
 
 /** An upstream as it looks now. */
-export interface ExpectedUpstream {
+export interface UpstreamSnapshot {
   readonly upstream: KnownUpstream;
   /** Requests of this node that are there now. */
-  readonly ownCount: number;
+  readonly ownInFlightCount: number;
   readonly report: LoadReport | undefined;
   /** Mean time for which one of all its requests holds a slot. */
   readonly averageMillis: number;
   /** Time that the request itself would take there. */
-  readonly ownMillis: number;
+  readonly requestMillis: number;
   readonly now: number;
 }
 
 /** Time after which an upstream is expected to answer a request sent now. */
-export function expectedAnswerMillis(expected: ExpectedUpstream): number {
-  const {upstream, averageMillis, ownMillis, now} = expected;
+export function expectedAnswerMillis(expected: UpstreamSnapshot): number {
+  const {upstream, averageMillis, requestMillis, now} = expected;
   const cold = upstream.coldUntilMillis > now ? COLD_FACTOR : 1;
   const average = averageMillis * cold;
   const ratio = busyRatioOf(expected);
   const waitMillis = Math.max(0, ratio - 1) * average * WAIT_WEIGHT;
   const busyMillis = Math.max(0, Math.min(1, ratio) - BUSY_RATIO) * average;
-  return ownMillis * cold + waitMillis + busyMillis;
+  return requestMillis * cold + waitMillis + busyMillis;
 }
 
 /** Requests there, as a share of its slots; above 1 some wait. */
-export function busyRatioOf(expected: ExpectedUpstream): number {
-  const {upstream, ownCount, report} = expected;
+export function busyRatioOf(expected: UpstreamSnapshot): number {
+  const {upstream, ownInFlightCount, report} = expected;
   const limit = Math.max(1, report?.limitCount ?? upstream.entry.slotsCount);
   const reported = (report?.inFlightCount ?? 0) + (report?.queuedCount ?? 0);
-  return Math.max(reported, ownCount) / limit;
+  return Math.max(reported, ownInFlightCount) / limit;
 }
--- a/src/process/placement/placement.ts
+++ b/src/process/placement/placement.ts
@@ -7,13 +7,13 @@
  * this node has sent there since; distance counts as time, so that requests
  * stay in their zone unless another one serves them sooner.
  */
-import type {LoadBoard, LoadReport} from '../admission/load_board.js';
-import {createProbeRation} from './probe_ration.js';
+import type {LoadTable, LoadReport} from '../admission/load_table.js';
+import {createProbeLimiter} from './probe_limiter.js';
 import type {UpstreamEntry} from '../membership/upstream_entry.js';
 import type {UpstreamDirectory} from '../membership/upstream_directory.js';
 import type {KnownUpstream} from '../membership/known_upstream.js';
-import type {AttemptEnd, UpstreamRecord} from './upstream_record.js';
-import {learnFrom} from './upstream_record.js';
+import type {AttemptOutcome, UpstreamStats} from './upstream_stats.js';
+import {recordAttemptOutcome} from './upstream_stats.js';
 import {isSameStart} from '../membership/upstream_start.js';
 import type {PlacementGoal} from './upstream_score.js';
 import {upstreamScore} from './upstream_score.js';
@@ -22,7 +22,7 @@
 export interface Placement {
   readonly upstream: KnownUpstream;
   /** Must be called once when the attempt has ended. */
-  end(how: AttemptEnd): void;
+  end(how: AttemptOutcome): void;
 }
 
 /** Chooses upstreams. */
@@ -38,13 +38,13 @@
    * be out of reach: an attempt given up for such a one leaves the request with
    * no upstream at work on it, and it fails.
    */
-  hasOther(
+  hasAlternative(
     service: string,
     excludedIds: ReadonlySet<string>,
     isLost?: (entry: UpstreamEntry) => boolean,
   ): boolean;
   /** The same, where one that failed before may be tried again by now. */
-  canReachOther(
+  hasReachableAlternative(
     service: string,
     excludedIds: ReadonlySet<string>,
     isLost: (entry: UpstreamEntry) => boolean,
@@ -56,7 +56,7 @@
 /** What a chooser needs. */
 export interface PlacementOptions {
   readonly directory: UpstreamDirectory;
-  readonly board: LoadBoard;
+  readonly loadTable: LoadTable;
   readonly hostKey: string;
   readonly zone: string;
   readonly region: string;
@@ -81,17 +81,17 @@
 export function createPlacementChooser(
   options: PlacementOptions,
 ): PlacementChooser {
-  const {directory, board, nowMillis, random} = options;
-  const records = new Map<string, UpstreamRecord>();
-  const ration = createProbeRation(nowMillis);
+  const {directory, loadTable, nowMillis, random} = options;
+  const records = new Map<string, UpstreamStats>();
+  const ration = createProbeLimiter(nowMillis);
 
-  const recordOf = (upstream: KnownUpstream): UpstreamRecord => {
+  const recordOf = (upstream: KnownUpstream): UpstreamStats => {
     const {entry} = upstream;
     const known = records.get(entry.id);
     if (known !== undefined && isSameStart(known.start, entry)) return known;
-    const created: UpstreamRecord = {
+    const created: UpstreamStats = {
       start: entry,
-      ownCount: 0,
+      ownInFlightCount: 0,
       averageMillis: undefined,
       slownessRatio: undefined,
       lastSentMillis: upstream.firstSeenMillis - PROBE_MILLIS * random(),
@@ -108,22 +108,23 @@
    * faster, one that is too slow to answer at all would get every request.
    */
   const serviceMillis = ({entry}: KnownUpstream): number =>
-    board.serviceLoadOf(entry.service)?.averageMillis ?? UNKNOWN_AVERAGE_MILLIS;
+    loadTable.serviceLoadOf(entry.service)?.averageMillis ??
+    UNKNOWN_AVERAGE_MILLIS;
 
   const score = (
     upstream: KnownUpstream,
     now: number,
     goal: PlacementGoal | undefined,
   ): number => {
-    const record = recordOf(upstream);
-    const report = board.find(upstream.entry.id);
-    record.averageMillis = report?.averageMillis ?? record.averageMillis;
-    record.slownessRatio = report?.slownessRatio ?? record.slownessRatio;
+    const stats = recordOf(upstream);
+    const report = loadTable.find(upstream.entry.id);
+    stats.averageMillis = report?.averageMillis ?? stats.averageMillis;
+    stats.slownessRatio = report?.slownessRatio ?? stats.slownessRatio;
     return upstreamScore(options, {
       upstream,
-      record,
+      stats,
       report,
-      averageMillis: record.averageMillis ?? serviceMillis(upstream),
+      averageMillis: stats.averageMillis ?? serviceMillis(upstream),
       goal,
       noise: random(),
       now,
@@ -141,7 +142,7 @@
     const left = candidates.filter(
       candidate =>
         recordOf(candidate).lastSentMillis + PROBE_MILLIS < now &&
-        !isKnownFull(board.find(candidate.entry.id), now),
+        !isKnownFull(loadTable.find(candidate.entry.id), now),
     );
     return left[Math.floor(random() * left.length)];
   };
@@ -173,10 +174,10 @@
     now: number,
     goal: PlacementGoal | undefined,
   ): KnownUpstream | undefined => {
-    const isDue = !isRepeat && ration.isDue(service);
+    const isDue = !isRepeat && ration.mayProbe(service);
     const probed = isDue ? pickProbe(candidates, now) : undefined;
     if (probed === undefined) return pickBest(candidates, now, goal);
-    ration.take(service);
+    ration.recordProbe(service);
     return probed;
   };
 
@@ -191,7 +192,7 @@
     choose: (service, excludedIds, isLost = () => false, goal) => {
       const now = nowMillis();
       const allowed = directory
-        .ready(service)
+        .listReady(service)
         .filter(upstream => !excludedIds.has(upstream.entry.id));
       const usable = allowed.filter(upstream =>
         canReach(upstream, isLost, now),
@@ -206,19 +207,19 @@
       if (chosen === undefined) return undefined;
       return openPlacement(chosen, recordOf(chosen), nowMillis);
     },
-    hasOther: (service, excludedIds, isLost = () => false) =>
+    hasAlternative: (service, excludedIds, isLost = () => false) =>
       directory
-        .ready(service)
+        .listReady(service)
         .some(
           upstream =>
             !excludedIds.has(upstream.entry.id) &&
             recordOf(upstream).failuresInARow === 0 &&
             !isLost(upstream.entry),
         ),
-    canReachOther: (service, excludedIds, isLost) => {
+    hasReachableAlternative: (service, excludedIds, isLost) => {
       const now = nowMillis();
       return directory
-        .ready(service)
+        .listReady(service)
         .some(
           upstream =>
             !excludedIds.has(upstream.entry.id) &&
@@ -246,19 +247,19 @@
 
 function openPlacement(
   upstream: KnownUpstream,
-  record: UpstreamRecord,
+  record: UpstreamStats,
   nowMillis: () => number,
 ): Placement {
   let isOpen = true;
-  record.ownCount += 1;
+  record.ownInFlightCount += 1;
   record.lastSentMillis = nowMillis();
   return {
     upstream,
     end: how => {
       if (!isOpen) return;
       isOpen = false;
-      record.ownCount -= 1;
-      learnFrom(record, how, nowMillis());
+      record.ownInFlightCount -= 1;
+      recordAttemptOutcome(record, how, nowMillis());
     },
   };
 }
--- a/src/process/placement/probe_ration.ts
+++ b/src/process/placement/probe_limiter.ts
@@ -9,11 +9,11 @@
  */
 
 /** Rations of one node, one for each service. */
-export interface ProbeRation {
+export interface ProbeLimiter {
   /** Counts a choice for a service and returns whether it may be a probe. */
-  isDue(service: string): boolean;
+  mayProbe(service: string): boolean;
   /** A probe was sent. */
-  take(service: string): void;
+  recordProbe(service: string): void;
 }
 
 interface Ration {
@@ -31,7 +31,7 @@
 const PROBE_INTERVAL_MILLIS = 1500;
 
 /** Creates rations; each is first due an interval after its first choice. */
-export function createProbeRation(nowMillis: () => number): ProbeRation {
+export function createProbeLimiter(nowMillis: () => number): ProbeLimiter {
   const rations = new Map<string, Ration>();
 
   const rationOf = (service: string): Ration => {
@@ -43,13 +43,13 @@
   };
 
   return {
-    isDue: service => {
+    mayProbe: service => {
       const ration = rationOf(service);
       ration.choicesCount += 1;
       if (ration.choicesCount >= CHOICES_PER_PROBE_COUNT) return true;
       return nowMillis() - ration.takenMillis >= PROBE_INTERVAL_MILLIS;
     },
-    take: service => {
+    recordProbe: service => {
       const ration = rationOf(service);
       ration.choicesCount = 0;
       ration.takenMillis = nowMillis();
--- a/src/process/placement/upstream_score.ts
+++ b/src/process/placement/upstream_score.ts
@@ -2,12 +2,12 @@
  * How well an upstream suits a request: the time in which it is expected to
  * answer, with failures and distance counted as time; the least is chosen.
  */
-import type {LoadReport} from '../admission/load_board.js';
+import type {LoadReport} from '../admission/load_table.js';
 import type {KnownUpstream} from '../membership/known_upstream.js';
-import type {ExpectedUpstream} from './expected_answer.js';
+import type {UpstreamSnapshot} from './expected_answer.js';
 import {busyRatioOf, expectedAnswerMillis} from './expected_answer.js';
-import type {UpstreamRecord} from './upstream_record.js';
-import {nearAllowanceMillis} from './zone_preference.js';
+import type {UpstreamStats} from './upstream_stats.js';
+import {sameZoneAllowanceMillis} from './zone_preference.js';
 
 /** What a request wants of its upstream. */
 export interface PlacementGoal {
@@ -18,16 +18,16 @@
 }
 
 /** Where the sender is. */
-export interface SenderPlace {
+export interface SenderLocation {
   readonly hostKey: string;
   readonly zone: string;
   readonly region: string;
 }
 
 /** An upstream that a request may be sent to. */
-export interface ScoredUpstream {
+export interface UpstreamCandidate {
   readonly upstream: KnownUpstream;
-  readonly record: UpstreamRecord;
+  readonly stats: UpstreamStats;
   readonly report: LoadReport | undefined;
   /** Mean time for which one of all its requests holds a slot. */
   readonly averageMillis: number;
@@ -60,13 +60,13 @@
 
 /** Score of an upstream for a request that begins at a place. */
 export function upstreamScore(
-  place: SenderPlace,
-  scored: ScoredUpstream,
+  place: SenderLocation,
+  scored: UpstreamCandidate,
 ): number {
-  const {upstream, record, goal} = scored;
+  const {upstream, stats, goal} = scored;
   const state = expectationOf(scored);
   const answerMillis = expectedAnswerMillis(state);
-  const failureMillis = record.failedRatio * FAILURE_MILLIS;
+  const failureMillis = stats.failedRatio * FAILURE_MILLIS;
   const noise = 1 + NOISE_RATIO * scored.noise;
   const expected = (answerMillis + failureMillis) * noise;
   const distance = distanceMillis(place, upstream);
@@ -74,7 +74,7 @@
     return expected * (1 + OTHER_ZONE_RATIO) + distance;
   }
   if (goal === undefined) return expected + distance;
-  const allowance = nearAllowanceMillis({
+  const allowance = sameZoneAllowanceMillis({
     objectiveMillis: goal.objectiveMillis,
     expectedMillis: answerMillis,
     busyRatio: busyRatioOf(state),
@@ -83,22 +83,22 @@
 }
 
 /** A request's own time, where its like is known, does not depend on the mix. */
-function expectationOf(scored: ScoredUpstream): ExpectedUpstream {
-  const {upstream, record, report, averageMillis, goal, now} = scored;
-  const {ownCount, slownessRatio = 1} = record;
+function expectationOf(scored: UpstreamCandidate): UpstreamSnapshot {
+  const {upstream, stats, report, averageMillis, goal, now} = scored;
+  const {ownInFlightCount, slownessRatio = 1} = stats;
   const usualMillis = goal?.usualMillis;
   return {
     upstream,
-    ownCount,
+    ownInFlightCount,
     report,
     averageMillis,
-    ownMillis:
+    requestMillis:
       usualMillis === undefined ? averageMillis : usualMillis * slownessRatio,
     now,
   };
 }
 
-function distanceMillis(place: SenderPlace, {entry}: KnownUpstream): number {
+function distanceMillis(place: SenderLocation, {entry}: KnownUpstream): number {
   if (entry.hostKey === place.hostKey) return 0;
   if (entry.zone === place.zone) return SAME_ZONE_MILLIS;
   return entry.region === place.region
--- a/src/process/placement/upstream_record.ts
+++ b/src/process/placement/upstream_stats.ts
@@ -4,7 +4,7 @@
 import type {UpstreamStart} from '../membership/upstream_start.js';
 
 /** How an attempt ended, as far as the choice of upstreams is concerned. */
-export type AttemptEnd =
+export type AttemptOutcome =
   | 'served'
   /** The upstream answered with a failure of its own, or broke off. */
   | 'failed'
@@ -14,9 +14,9 @@
   | 'neutral';
 
 /** What was learned about one start; a later one begins without it. */
-export interface UpstreamRecord {
+export interface UpstreamStats {
   readonly start: UpstreamStart;
-  ownCount: number;
+  ownInFlightCount: number;
   /** As reported last, kept when the report itself has aged. */
   averageMillis: number | undefined;
   slownessRatio: number | undefined;
@@ -35,9 +35,9 @@
 const MAX_AVOID_MILLIS = 1200;
 
 /** Learns from the end of an attempt. */
-export function learnFrom(
-  record: UpstreamRecord,
-  how: AttemptEnd,
+export function recordAttemptOutcome(
+  record: UpstreamStats,
+  how: AttemptOutcome,
   now: number,
 ): void {
   if (how === 'neutral') return;
--- a/src/process/placement/zone_preference.ts
+++ b/src/process/placement/zone_preference.ts
@@ -9,7 +9,7 @@
  */
 
 /** A request and an upstream of the own zone. */
-export interface NearCandidate {
+export interface SameZoneCandidate {
   /** Time in which an answer has its full value. */
   readonly objectiveMillis: number;
   /** Time in which this upstream is expected to answer it. */
@@ -28,7 +28,7 @@
 const SPREAD_RATIO = 2;
 
 /** Time that may be spent for staying in the zone. */
-export function nearAllowanceMillis(candidate: NearCandidate): number {
+export function sameZoneAllowanceMillis(candidate: SameZoneCandidate): number {
   const {objectiveMillis, expectedMillis, busyRatio} = candidate;
   const spareMillis = objectiveMillis - SPREAD_RATIO * expectedMillis;
   const wantedMillis = Math.min(NEAR_RATIO * objectiveMillis, spareMillis);
--- a/src/process/quarantine/crash_evidence.ts
+++ b/src/process/quarantine/crash_evidence.ts
@@ -8,10 +8,10 @@
  * within seconds, whether messages are lost, repeated or reordered.
  */
 import {fnvHash} from '../../base/fnv_hash.js';
-import type {CrashFields, CrashSummary} from '../../protocol/crash_fields.js';
+import type {CrashFields, CrashSummary} from '../../protocol/crash_messages.js';
 
 /** One crash that a suspect was in progress under. */
-export interface CrashSighting {
+export interface SuspectCrash {
   readonly crashId: string;
   readonly upstreamId: string;
   readonly ageMillis: number;
@@ -21,7 +21,7 @@
 export interface CrashSuspect {
   readonly fingerprint: string;
   readonly isQuarantined: boolean;
-  readonly crashes: readonly CrashSighting[];
+  readonly crashes: readonly SuspectCrash[];
 }
 
 /** Evidence of one node. */
@@ -66,7 +66,7 @@
 export const RETENTION_MILLIS = 3_600_000;
 
 /** Bound on pairs of a crash and a fingerprint, of some hundred bytes each. */
-export const MAX_SIGHTINGS_COUNT = 8192;
+export const MAX_CRASH_FINGERPRINT_PAIRS_COUNT = 8192;
 
 interface KnownCrash {
   readonly crashId: string;
@@ -203,7 +203,7 @@
   };
 
   const evict = (): void => {
-    while (sightingsCount > MAX_SIGHTINGS_COUNT) {
+    while (sightingsCount > MAX_CRASH_FINGERPRINT_PAIRS_COUNT) {
       const crash = leastUseful();
       if (crash === undefined) return;
       remove(crash);
--- a/src/process/quarantine/crash_gossip.ts
+++ b/src/process/quarantine/crash_gossip.ts
@@ -9,7 +9,7 @@
   CrashFields,
   CrashReport,
   CrashSummary,
-} from '../../protocol/crash_fields.js';
+} from '../../protocol/crash_messages.js';
 import {
   decodeCrashReport,
   encodeCrashReport,
--- a/src/process/quarantine/turn_queue.ts
+++ b/src/process/quarantine/semaphore.ts
@@ -4,28 +4,28 @@
 import type {CancelSignal} from '../../base/cancel_signal.js';
 
 /** Turns of one kind of execution. */
-export interface TurnQueue {
+export interface Semaphore {
   /**
    * Takes a turn: true at once if one is free, else when one is released; false if
    * none is by then, or if the wait is cancelled.
    */
-  take(wait: TurnWait): true | Promise<boolean>;
+  acquire(wait: SemaphoreWait): true | Promise<boolean>;
   /** Releases a turn that was taken. */
   release(): void;
 }
 
 /** How long a turn is waited for. */
-export interface TurnWait {
+export interface SemaphoreWait {
   readonly waitMillis: number;
   readonly cancel: CancelSignal;
 }
 
 /** Creates a queue of so many turns. */
-export function createTurnQueue(turnsCount: number): TurnQueue {
+export function createSemaphore(turnsCount: number): Semaphore {
   const waiting = new Set<() => void>();
   let takenCount = 0;
 
-  const waitForTurn = ({waitMillis, cancel}: TurnWait): Promise<boolean> =>
+  const waitForTurn = ({waitMillis, cancel}: SemaphoreWait): Promise<boolean> =>
     new Promise(resolve => {
       const finish = (hasTurn: boolean): void => {
         waiting.delete(grant);
@@ -45,7 +45,7 @@
     });
 
   return {
-    take: wait => {
+    acquire: wait => {
       if (takenCount >= turnsCount) return waitForTurn(wait);
       takenCount += 1;
       return true;
--- a/src/process/quota/coordinator_choice.ts
+++ b/src/process/quota/coordinator_chooser.ts
@@ -6,30 +6,30 @@
  * partitioned fleet has a coordinator of its own.
  */
 import {fnvHash} from '../../base/fnv_hash.js';
-import type {ZonedHost, ZoneReach} from './zone_reach.js';
+import type {ZonedHost, ZoneReachability} from './zone_reachability.js';
 
 /** Choices of one node. */
-export interface CoordinatorChoice<T extends ZonedHost> {
+export interface CoordinatorChooser<T extends ZonedHost> {
   /** The first that can be reached; it may be the own node. */
   choose(organisation: string): T | undefined;
   /** Whether a node cannot be reached, or could not a moment ago. */
-  isPassedOver(host: T): boolean;
+  isUnavailable(host: T): boolean;
   /** Whether the own node is the first, whatever can be reached. */
   isFirstChoice(organisation: string): boolean;
   /** Part of all nodes that this one can reach, itself included. */
   reachableRatio(): number;
   /** A few random nodes of a zone, to find out whether it is cut off. */
-  witnesses(zone: string, exceptKey?: string): readonly T[];
+  probeTargets(zone: string, exceptKey?: string): readonly T[];
   /** Zones that have other nodes. */
   zones(): readonly string[];
 }
 
 /** What a choice needs. */
-export interface CoordinatorChoiceOptions<T extends ZonedHost> {
+export interface CoordinatorChooserOptions<T extends ZonedHost> {
   /** Nodes that may coordinate, the own one among them. */
   readonly hosts: () => Iterable<T>;
   readonly ownHostKey: string;
-  readonly reach: ZoneReach;
+  readonly reachability: ZoneReachability;
   readonly nowMillis: () => number;
   /** Uniform in [0, 1). */
   readonly random: () => number;
@@ -42,10 +42,10 @@
 const WITNESSES_COUNT = 2;
 
 /** Creates the choice of one node. */
-export function createCoordinatorChoice<T extends ZonedHost>(
-  options: CoordinatorChoiceOptions<T>,
-): CoordinatorChoice<T> {
-  const {ownHostKey, nowMillis, reach} = options;
+export function createCoordinatorChooser<T extends ZonedHost>(
+  options: CoordinatorChooserOptions<T>,
+): CoordinatorChooser<T> {
+  const {ownHostKey, nowMillis, reachability} = options;
   const orders = new Map<string, readonly T[]>();
   let hosts: readonly T[] = [];
   let hostsUntilMillis = -Infinity;
@@ -72,25 +72,25 @@
   };
 
   const isReached = (host: T): boolean =>
-    host.hostKey === ownHostKey || !reach.isCutOff(host.zone);
+    host.hostKey === ownHostKey || !reachability.isPartitioned(host.zone);
 
-  const isPassedOver = (host: T): boolean =>
-    !isReached(host) || reach.isFailing(host);
+  const isUnavailable = (host: T): boolean =>
+    !isReached(host) || reachability.hasRecentFailure(host);
 
   const others = (): readonly T[] =>
     currentHosts().filter(({hostKey}) => hostKey !== ownHostKey);
 
   return {
     choose: organisation =>
-      orderOf(organisation).find(host => !isPassedOver(host)),
-    isPassedOver,
+      orderOf(organisation).find(host => !isUnavailable(host)),
+    isUnavailable,
     isFirstChoice: organisation =>
       orderOf(organisation)[0]?.hostKey === ownHostKey,
     reachableRatio: () => {
       const all = currentHosts();
       return all.length === 0 ? 1 : all.filter(isReached).length / all.length;
     },
-    witnesses: (zone, exceptKey) => {
+    probeTargets: (zone, exceptKey) => {
       const left = others().filter(
         host => host.zone === zone && host.hostKey !== exceptKey,
       );
--- a/src/process/quota/quota_coordinator.ts
+++ b/src/process/quota/quota_coordinator.ts
@@ -8,7 +8,7 @@
 import type {
   QuotaAllowance,
   QuotaReport,
-  QuotaUse,
+  QuotaUsage,
 } from '../../protocol/quota_messages.js';
 
 /** The coordinator of one node. */
@@ -100,7 +100,7 @@
    * Requests that ran since the last report, without those that another coordinator
    * has confirmed meanwhile or that were counted here though the answer was lost.
    */
-  const newlyRan = ({ranCounts}: Reporter, use: QuotaUse): number => {
+  const newlyRan = ({ranCounts}: Reporter, use: QuotaUsage): number => {
     const before = ranCounts.get(use.organisation);
     ranCounts.set(use.organisation, use.ranCount);
     if (before === undefined) return use.unconfirmedCount;
--- a/src/process/quota/quota_exchange.ts
+++ b/src/process/quota/quota_enforcer.ts
@@ -12,15 +12,19 @@
 import type {
   QuotaAllowance,
   QuotaReport,
-  QuotaUse,
+  QuotaUsage,
 } from '../../protocol/quota_messages.js';
-import type {CoordinatorChoice} from './coordinator_choice.js';
+import type {CoordinatorChooser} from './coordinator_chooser.js';
 import type {QuotaCoordinator} from './quota_coordinator.js';
-import type {KnownAllowance, KnownVerdict, QuotaGate} from './quota_gate.js';
-import type {ZonedHost, ZoneReach} from './zone_reach.js';
+import type {
+  CachedAllowance,
+  DefiniteQuotaCheckResult,
+  QuotaLimiter,
+} from './quota_limiter.js';
+import type {ZonedHost, ZoneReachability} from './zone_reachability.js';
 
 /** The exchange of one node. */
-export interface QuotaExchange {
+export interface QuotaEnforcer {
   /** Decides about a request; waits only where nothing is known that matters. */
   decide(
     organisation: Organisation,
@@ -29,7 +33,7 @@
   /** The request is passed on, and runs unless it is taken back. */
   recordRan(organisation: Organisation): void;
   /** The request was passed on and has not run. */
-  takeBack(organisation: Organisation): void;
+  recordNotRun(organisation: Organisation): void;
   /** Answers a report of another node. */
   receive(report: QuotaReport): readonly QuotaAllowance[];
   /** Reports what has changed; called at intervals. */
@@ -41,13 +45,13 @@
   | {readonly kind: 'admitted'}
   | {
       readonly kind: 'over-quota';
-      readonly known: KnownAllowance;
+      readonly allowance: CachedAllowance;
       /** Where the coordinator of the organisation is. */
       readonly coordinator: string | undefined;
     };
 
 /** What came of a report. */
-export type ReportEnd =
+export type ReportResult =
   | {
       readonly kind: 'answered';
       readonly allowances: readonly QuotaAllowance[];
@@ -58,18 +62,18 @@
   | {readonly kind: 'closed'};
 
 /** What an exchange needs. */
-export interface QuotaExchangeOptions<T extends ZonedHost> {
+export interface QuotaEnforcerOptions<T extends ZonedHost> {
   /** Identifies this start of the process. */
   readonly reporterId: string;
   readonly ownHostKey: string;
   readonly zone: string;
-  readonly gate: QuotaGate;
+  readonly limiter: QuotaLimiter;
   readonly coordinator: QuotaCoordinator;
-  readonly choice: CoordinatorChoice<T>;
-  readonly reach: ZoneReach;
-  readonly send: (host: T, report: QuotaReport) => Promise<ReportEnd>;
+  readonly coordinatorChooser: CoordinatorChooser<T>;
+  readonly reachability: ZoneReachability;
+  readonly send: (host: T, report: QuotaReport) => Promise<ReportResult>;
   /** Resolves when an answer that a request waits for has taken too long. */
-  readonly patience: () => Promise<void>;
+  readonly waitTimeout: () => Promise<void>;
 }
 
 /** Interval of reports. */
@@ -87,30 +91,31 @@
 const ADMITTED: QuotaDecision = {kind: 'admitted'};
 
 /** Creates the exchange of one node. */
-export function createQuotaExchange<T extends ZonedHost>(
-  options: QuotaExchangeOptions<T>,
-): QuotaExchange {
-  const {gate, coordinator, choice, reach, ownHostKey} = options;
+export function createQuotaEnforcer<T extends ZonedHost>(
+  options: QuotaEnforcerOptions<T>,
+): QuotaEnforcer {
+  const {limiter, coordinator, coordinatorChooser, reachability, ownHostKey} =
+    options;
   const asking = new Map<string, Promise<void>>();
   const reporting = new Set<string>();
   const probing = new Set<string>();
   let sequence = 0;
 
-  const reportOf = (uses: readonly QuotaUse[]): QuotaReport => {
+  const reportOf = (uses: readonly QuotaUsage[]): QuotaReport => {
     sequence += 1;
     const {reporterId, zone} = options;
     return {reporterId, zone, sequence, uses};
   };
 
-  const send = async (host: T, report: QuotaReport): Promise<ReportEnd> => {
+  const send = async (host: T, report: QuotaReport): Promise<ReportResult> => {
     const end = await options.send(host, report);
-    if (end.kind === 'answered') reach.noteHeard(host.zone);
+    if (end.kind === 'answered') reachability.recordReceived(host.zone);
     return end;
   };
 
-  const noteFailed = (host: T, end: ReportEnd): void => {
-    if (end.kind === 'silent') reach.noteSilent(host);
-    if (end.kind === 'closed') reach.noteClosed(host);
+  const noteFailed = (host: T, end: ReportResult): void => {
+    if (end.kind === 'silent') reachability.recordTimeout(host);
+    if (end.kind === 'closed') reachability.recordClosed(host);
   };
 
   const probe = async (host: T): Promise<void> => {
@@ -121,31 +126,32 @@
   const sendAgain = async (
     host: T,
     report: QuotaReport,
-  ): Promise<ReportEnd> => {
+  ): Promise<ReportResult> => {
     const [end] = await Promise.all([
       send(host, report),
-      ...choice.witnesses(host.zone, host.hostKey).map(probe),
+      ...coordinatorChooser.probeTargets(host.zone, host.hostKey).map(probe),
     ]);
     return end;
   };
 
   const report = async (
     host: T | undefined,
-    uses: readonly QuotaUse[],
+    uses: readonly QuotaUsage[],
   ): Promise<void> => {
     const sent = reportOf(uses);
     if (host === undefined || host.hostKey === ownHostKey) {
-      gate.confirm(uses, coordinator.receive(sent));
+      limiter.confirm(uses, coordinator.receive(sent));
       return;
     }
     let end = await send(host, sent);
     for (let retry = 0; retry < RETRIES_COUNT; retry += 1) {
-      if (end.kind === 'answered' || choice.isPassedOver(host)) break;
+      if (end.kind === 'answered' || coordinatorChooser.isUnavailable(host))
+        break;
       end = await sendAgain(host, sent);
     }
     noteFailed(host, end);
-    if (end.kind === 'answered') gate.confirm(uses, end.allowances);
-    else gate.noteUnanswered(uses);
+    if (end.kind === 'answered') limiter.confirm(uses, end.allowances);
+    else limiter.recordUnanswered(uses);
   };
 
   /** Requests that wait for the same answer share the question. */
@@ -153,8 +159,8 @@
     const {name, quota} = organisation;
     const known = asking.get(name);
     if (known !== undefined || quota === undefined) return known;
-    const uses = [gate.takeUse(name, quota)];
-    const asked = report(choice.choose(name), uses).finally(() => {
+    const uses = [limiter.takeUse(name, quota)];
+    const asked = report(coordinatorChooser.choose(name), uses).finally(() => {
       asking.delete(name);
     });
     asking.set(name, asked);
@@ -163,25 +169,28 @@
 
   const decisionOf = (
     {name}: Organisation,
-    verdict: KnownVerdict,
+    verdict: DefiniteQuotaCheckResult,
   ): QuotaDecision => {
     if (verdict.kind === 'admitted') return ADMITTED;
-    return {...verdict, coordinator: choice.choose(name)?.hostKey};
+    return {...verdict, coordinator: coordinatorChooser.choose(name)?.hostKey};
   };
 
   const decideAfterAsking = async (
     organisation: Organisation,
     rank: number,
   ): Promise<QuotaDecision> => {
-    await Promise.race([ask(organisation), options.patience()]);
-    const verdict = gate.check(organisation, rank);
+    await Promise.race([ask(organisation), options.waitTimeout()]);
+    const verdict = limiter.check(organisation, rank);
     if (verdict.kind !== 'unknown') return decisionOf(organisation, verdict);
-    return decisionOf(organisation, gate.checkUnanswered(organisation, rank));
+    return decisionOf(
+      organisation,
+      limiter.checkWithoutCoordinator(organisation, rank),
+    );
   };
 
   const reportTo = async (
     host: T | undefined,
-    uses: readonly QuotaUse[],
+    uses: readonly QuotaUsage[],
   ): Promise<void> => {
     const key = host?.hostKey ?? ownHostKey;
     reporting.add(key);
@@ -191,27 +200,30 @@
 
   const probeZone = async (zone: string): Promise<void> => {
     probing.add(zone);
-    await Promise.all(choice.witnesses(zone).map(probe));
+    await Promise.all(coordinatorChooser.probeTargets(zone).map(probe));
     probing.delete(zone);
   };
 
   /** A silent zone may be cut off, or have nothing to report. */
   const probeSilentZones = (): void => {
-    for (const zone of choice.zones()) {
-      const isAwaited = reach.isCutOff(zone) || coordinator.isActive();
+    for (const zone of coordinatorChooser.zones()) {
+      const isAwaited =
+        reachability.isPartitioned(zone) || coordinator.isActive();
       if (!isAwaited || probing.has(zone)) continue;
-      if (reach.silentMillis(zone) >= PROBE_MILLIS) void probeZone(zone);
+      if (reachability.sinceReceivedMillis(zone) >= PROBE_MILLIS)
+        void probeZone(zone);
     }
   };
 
   const reportUses = (): void => {
-    const groups = new Map<string, {host: T | undefined; uses: QuotaUse[]}>();
+    const groups = new Map<string, {host: T | undefined; uses: QuotaUsage[]}>();
     // One report at a time goes to each coordinator.
-    const uses = gate.takeUses(
-      name => !reporting.has(choice.choose(name)?.hostKey ?? ownHostKey),
+    const uses = limiter.takeUses(
+      name =>
+        !reporting.has(coordinatorChooser.choose(name)?.hostKey ?? ownHostKey),
     );
     for (const use of uses) {
-      const host = choice.choose(use.organisation);
+      const host = coordinatorChooser.choose(use.organisation);
       const key = host?.hostKey ?? ownHostKey;
       const group = groups.get(key) ?? {host, uses: []};
       group.uses.push(use);
@@ -224,16 +236,16 @@
 
   return {
     decide: (organisation, rank) => {
-      const verdict = gate.check(organisation, rank);
+      const verdict = limiter.check(organisation, rank);
       if (verdict.kind === 'unknown') {
         return decideAfterAsking(organisation, rank);
       }
       return decisionOf(organisation, verdict);
     },
-    recordRan: gate.recordRan,
-    takeBack: gate.takeBack,
+    recordRan: limiter.recordRan,
+    recordNotRun: limiter.recordNotRun,
     receive: received => {
-      reach.noteHeard(received.zone);
+      reachability.recordReceived(received.zone);
       return coordinator.receive(received);
     },
     tick: () => {
--- a/src/process/quota/quota_gate.ts
+++ b/src/process/quota/quota_limiter.ts
@@ -12,58 +12,64 @@
   OrganisationQuota,
 } from '../../version/organisation.js';
 import type {QuotaBound} from '../settings/node_settings.js';
-import type {QuotaAllowance, QuotaUse} from '../../protocol/quota_messages.js';
+import type {
+  QuotaAllowance,
+  QuotaUsage,
+} from '../../protocol/quota_messages.js';
 import {QUOTA_RANKS_COUNT} from '../../protocol/quota_messages.js';
 
 /** Gate of one node. */
-export interface QuotaGate {
+export interface QuotaLimiter {
   /** Whether to admit a request, by the rank of its route. */
-  check(organisation: Organisation, rank: number): QuotaVerdict;
+  check(organisation: Organisation, rank: number): QuotaCheckResult;
   /**
    * Whether to admit a request whose coordinator does not answer: by what it
    * allowed last, or by an equal share of the quota for each node.
    */
-  checkUnanswered(organisation: Organisation, rank: number): KnownVerdict;
+  checkWithoutCoordinator(
+    organisation: Organisation,
+    rank: number,
+  ): DefiniteQuotaCheckResult;
   /** The request is passed on, and runs unless it is taken back. */
   recordRan(organisation: Organisation): void;
   /** The request was passed on and has not run. */
-  takeBack(organisation: Organisation): void;
+  recordNotRun(organisation: Organisation): void;
   /** Uses to report now, of organisations that pass the filter. */
-  takeUses(mayReport: (organisation: string) => boolean): readonly QuotaUse[];
+  takeUses(mayReport: (organisation: string) => boolean): readonly QuotaUsage[];
   /** Uses of one organisation to report now, before a request of it is admitted. */
-  takeUse(organisation: string, quota: OrganisationQuota): QuotaUse;
+  takeUse(organisation: string, quota: OrganisationQuota): QuotaUsage;
   /** A report of these was answered. */
   confirm(
-    uses: readonly QuotaUse[],
+    uses: readonly QuotaUsage[],
     allowances: readonly QuotaAllowance[],
   ): void;
   /** A report of these was not answered; they are due again. */
-  noteUnanswered(uses: readonly QuotaUse[]): void;
+  recordUnanswered(uses: readonly QuotaUsage[]): void;
   /** What is known of organisations that are limited now. */
-  limited(): readonly KnownAllowance[];
+  limited(): readonly CachedAllowance[];
   /** Drops what is known of organisations that have been quiet. */
   expire(): void;
 }
 
 /** What comes of a check. */
-export type QuotaVerdict =
-  | KnownVerdict
+export type QuotaCheckResult =
+  | DefiniteQuotaCheckResult
   /** Nothing is known that is recent enough, and it matters. */
   | {readonly kind: 'unknown'};
 
 /** A verdict by what is known. */
-export type KnownVerdict =
+export type DefiniteQuotaCheckResult =
   | {readonly kind: 'admitted'}
-  | {readonly kind: 'over-quota'; readonly known: KnownAllowance};
+  | {readonly kind: 'over-quota'; readonly allowance: CachedAllowance};
 
 /** An allowance as a node knows it. */
-export interface KnownAllowance extends QuotaAllowance {
+export interface CachedAllowance extends QuotaAllowance {
   /** Age of what is known. */
   readonly ageMillis: number;
 }
 
 /** What a gate needs. */
-export interface QuotaGateOptions {
+export interface QuotaLimiterOptions {
   readonly bound: () => QuotaBound;
   readonly nodesCount: () => number;
   readonly nowMillis: () => number;
@@ -102,11 +108,11 @@
   sharedMillis: number;
 }
 
-const ADMITTED: KnownVerdict = {kind: 'admitted'};
-const UNKNOWN: QuotaVerdict = {kind: 'unknown'};
+const ADMITTED: DefiniteQuotaCheckResult = {kind: 'admitted'};
+const UNKNOWN: QuotaCheckResult = {kind: 'unknown'};
 
 /** Creates a gate that knows of no use. */
-export function createQuotaGate(options: QuotaGateOptions): QuotaGate {
+export function createQuotaLimiter(options: QuotaLimiterOptions): QuotaLimiter {
   const {bound, nodesCount, nowMillis, random} = options;
   const uses = new Map<string, Use>();
 
@@ -140,10 +146,13 @@
   const isFollowable = ({allowedMillis}: Use): boolean =>
     nowMillis() - allowedMillis <= STALE_MILLIS;
 
-  const followAllowance = (use: Use, place: number): KnownVerdict => {
+  const followAllowance = (
+    use: Use,
+    place: number,
+  ): DefiniteQuotaCheckResult => {
     if (use.allowance === undefined || takesPart(use, place)) return ADMITTED;
     const ageMillis = nowMillis() - use.allowedMillis;
-    return {kind: 'over-quota', known: {...use.allowance, ageMillis}};
+    return {kind: 'over-quota', allowance: {...use.allowance, ageMillis}};
   };
 
   const takesShare = (
@@ -159,7 +168,7 @@
     return shareCount >= 1;
   };
 
-  const toReport = (use: Use): QuotaUse => {
+  const toReport = (use: Use): QuotaUsage => {
     const offeredCounts = [...use.offeredCounts];
     use.offeredCounts.fill(0);
     use.hasChanged = false;
@@ -194,20 +203,20 @@
     recordRan: ({name, quota}) => {
       if (quota !== undefined) count(useOf(name, quota), 1);
     },
-    takeBack: ({name, quota}) => {
+    recordNotRun: ({name, quota}) => {
       if (quota !== undefined) count(useOf(name, quota), -1);
     },
-    checkUnanswered: ({name, quota}, rank) => {
+    checkWithoutCoordinator: ({name, quota}, rank) => {
       if (quota === undefined) return ADMITTED;
       const use = useOf(name, quota);
       const place = Math.min(rank, QUOTA_RANKS_COUNT - 1);
       recordOffered(use, place, nowMillis());
       if (isFollowable(use)) return followAllowance(use, place);
       if (takesShare(use, quota)) return ADMITTED;
-      return {kind: 'over-quota', known: unansweredFor(name, quota)};
+      return {kind: 'over-quota', allowance: unansweredFor(name, quota)};
     },
     takeUses: mayReport => {
-      const due: QuotaUse[] = [];
+      const due: QuotaUsage[] = [];
       for (const use of uses.values()) {
         if (isDue(use) && mayReport(use.organisation)) due.push(toReport(use));
       }
@@ -227,7 +236,7 @@
         use.allowedMillis = nowMillis();
       }
     },
-    noteUnanswered: reported => {
+    recordUnanswered: reported => {
       for (const {organisation} of reported) {
         const use = uses.get(organisation);
         if (use !== undefined) use.hasChanged = true;
@@ -235,7 +244,7 @@
     },
     limited: () => {
       const now = nowMillis();
-      const known: KnownAllowance[] = [];
+      const known: CachedAllowance[] = [];
       for (const use of uses.values()) {
         if (use.allowance === undefined || !isLimited(use)) continue;
         known.push({...use.allowance, ageMillis: now - use.allowedMillis});
@@ -255,7 +264,7 @@
 function unansweredFor(
   organisation: string,
   {ratePerSecond}: OrganisationQuota,
-): KnownAllowance {
+): CachedAllowance {
   return {
     organisation,
     isSettling: false,
--- a/src/process/quota/zone_reach.ts
+++ b/src/process/quota/zone_reachability.ts
@@ -13,18 +13,18 @@
 }
 
 /** Reach of one node. */
-export interface ZoneReach {
+export interface ZoneReachability {
   /** Something came from a zone. */
-  noteHeard(zone: string): void;
+  recordReceived(zone: string): void;
   /** A node did not answer. */
-  noteSilent(host: ZonedHost): void;
+  recordTimeout(host: ZonedHost): void;
   /** The host of a node refused or closed a connection: the node has ended. */
-  noteClosed(host: ZonedHost): void;
+  recordClosed(host: ZonedHost): void;
   /** Whether a node did not answer, or had ended, a moment ago. */
-  isFailing(host: ZonedHost): boolean;
-  isCutOff(zone: string): boolean;
+  hasRecentFailure(host: ZonedHost): boolean;
+  isPartitioned(zone: string): boolean;
   /** Time since something came from a zone. */
-  silentMillis(zone: string): number;
+  sinceReceivedMillis(zone: string): number;
 }
 
 /** Time for which a node that did not answer is passed over. */
@@ -49,7 +49,9 @@
 }
 
 /** Creates the reach of a node that has heard from none. */
-export function createZoneReach(nowMillis: () => number): ZoneReach {
+export function createZoneReachability(
+  nowMillis: () => number,
+): ZoneReachability {
   const signs = new Map<string, ZoneSigns>();
 
   const signsOf = (zone: string): ZoneSigns => {
@@ -79,24 +81,24 @@
   };
 
   return {
-    noteHeard: zone => {
+    recordReceived: zone => {
       const known = signsOf(zone);
       known.heardMillis = nowMillis();
       if (known.isCutOff) known.silentMillis.clear();
       known.isCutOff = false;
     },
-    noteSilent: ({zone, hostKey}) => {
+    recordTimeout: ({zone, hostKey}) => {
       const known = signsOf(zone);
       known.silentMillis.set(hostKey, nowMillis());
       known.isCutOff ||= seemsCutOff(known);
     },
-    noteClosed: ({zone, hostKey}) => {
+    recordClosed: ({zone, hostKey}) => {
       const known = signsOf(zone);
       known.heardMillis = nowMillis();
       known.closedMillis.set(hostKey, nowMillis());
       known.isCutOff = false;
     },
-    isFailing: ({zone, hostKey}) => {
+    hasRecentFailure: ({zone, hostKey}) => {
       const known = signs.get(zone);
       if (known === undefined) return false;
       const {silentMillis, closedMillis} = known;
@@ -105,8 +107,8 @@
         isWithin(closedMillis.get(hostKey), CLOSED_MILLIS)
       );
     },
-    isCutOff: zone => signs.get(zone)?.isCutOff ?? false,
-    silentMillis: zone =>
+    isPartitioned: zone => signs.get(zone)?.isCutOff ?? false,
+    sinceReceivedMillis: zone =>
       nowMillis() - (signs.get(zone)?.heardMillis ?? -Infinity),
   };
 }
--- a/src/process/repeats/attempt_history.ts
+++ b/src/process/repeats/attempt_history.ts
@@ -6,7 +6,7 @@
  */
 
 /** What became of an offer. */
-export type OfferEnd =
+export type OfferOutcome =
   /** The upstream began to work on it, or may have. */
   | 'ran'
   /** The upstream was handed it and says that it did not run. */
@@ -23,15 +23,15 @@
   /** Upstreams that may have worked on it. */
   readonly ranCount: number;
   /** Upstreams that were handed it. */
-  readonly handedCount: number;
+  readonly deliveredCount: number;
   /** It may be offered once more. */
-  readonly mayOffer: boolean;
+  readonly canOffer: boolean;
   begin(upstreamId: string): void;
-  end(how: OfferEnd): void;
+  end(how: OfferOutcome): void;
   /** Allows offers to those that rejected it; false if there are none. */
-  readmitRejecting(): boolean;
+  readmitRejectingUpstreams(): boolean;
   /** Allows offers to all. */
-  readmitAll(): void;
+  readmitAllUpstreams(): void;
 }
 
 /** Offers of one request, refusals included. */
@@ -60,10 +60,10 @@
     get ranCount() {
       return ranCount;
     },
-    get handedCount() {
+    get deliveredCount() {
       return ranCount + rejectedCount;
     },
-    get mayOffer() {
+    get canOffer() {
       return (
         ranCount + fullCount + refusedCount < MAX_OFFERS_COUNT &&
         fullCount < MAX_FULL_COUNT &&
@@ -83,13 +83,13 @@
         rejectingIds.add(lastId);
       }
     },
-    readmitRejecting: () => {
+    readmitRejectingUpstreams: () => {
       const hasAny = rejectingIds.size > 0;
       for (const id of rejectingIds) excludedIds.delete(id);
       rejectingIds.clear();
       return hasAny;
     },
-    readmitAll: () => {
+    readmitAllUpstreams: () => {
       excludedIds.clear();
       rejectingIds.clear();
     },
--- a/src/process/repeats/attempt_patience.ts
+++ b/src/process/repeats/attempt_timeouts.ts
@@ -9,15 +9,15 @@
  */
 
 /** Learned times of attempts, by what they were for. */
-export interface AttemptPatience {
+export interface AttemptTimeouts {
   /** Time after which to look elsewhere; `undefined` while too little is known. */
-  patienceMillis(key: string): number | undefined;
+  timeoutMillis(key: string): number | undefined;
   /** Mean time to an answer; `undefined` before the first. */
   usualMillis(key: string): number | undefined;
   /** An attempt was answered after this time. */
-  observeAnswer(key: string, millis: number): void;
+  recordResponse(key: string, millis: number): void;
   /** An attempt was given up without an answer. */
-  observeGivenUp(key: string): void;
+  recordTimeout(key: string): void;
 }
 
 /** Answers before a time is trusted. */
@@ -50,7 +50,7 @@
 }
 
 /** Creates a patience that has learned nothing. */
-export function createAttemptPatience(): AttemptPatience {
+export function createAttemptTimeouts(): AttemptTimeouts {
   const timesByKey = new Map<string, Times>();
 
   const learn = (times: Times, millis: number): void => {
@@ -62,7 +62,7 @@
   };
 
   return {
-    patienceMillis: key => {
+    timeoutMillis: key => {
       const times = timesByKey.get(key);
       if (times === undefined) return undefined;
       if (times.samplesCount < MIN_SAMPLES_COUNT) return undefined;
@@ -74,7 +74,7 @@
       );
     },
     usualMillis: key => timesByKey.get(key)?.meanMillis,
-    observeAnswer: (key, millis) => {
+    recordResponse: (key, millis) => {
       const times = timesByKey.get(key);
       if (times !== undefined) {
         learn(times, millis);
@@ -86,7 +86,7 @@
         deviationMillis: millis / 2,
       });
     },
-    observeGivenUp: key => {
+    recordTimeout: key => {
       const times = timesByKey.get(key);
       if (times === undefined) return;
       learn(times, times.meanMillis * GIVEN_UP_MEANS_COUNT);
--- a/src/process/repeats/repeat_budget.ts
+++ b/src/process/repeats/repeat_budget.ts
@@ -18,7 +18,7 @@
   /** Counts requests that this node sends, or refuses, itself. */
   recordRequest(counts: CallCounts): void;
   /** Counts calls that others are expected to make for what is let in here. */
-  recordExpected(counts: CallCounts): void;
+  recordExpectedCalls(counts: CallCounts): void;
   /** Takes one repeat and the calls it will cause, or nothing at all. */
   tryTake(counts: CallCounts): boolean;
   /**
@@ -32,13 +32,13 @@
    */
   tryTakeReserved(counts: CallCounts): boolean;
   /** Takes a repeat whatever is left. */
-  take(counts: CallCounts): void;
+  takeUnchecked(counts: CallCounts): void;
   /** What was spent of this node's share of the current window, by service. */
-  use(): readonly BudgetUse[];
+  usage(): readonly BudgetUsage[];
 }
 
 /** Use of one service's budget. */
-export interface BudgetUse {
+export interface BudgetUsage {
   readonly service: string;
   readonly spentCount: number;
   readonly allowedCount: number;
@@ -180,12 +180,12 @@
         usageOf(service).requests.add(partOf(), count);
       }
     },
-    recordExpected: counts => {
+    recordExpectedCalls: counts => {
       for (const [service, count] of counts) {
         usageOf(service).expected.add(partOf(), count);
       }
     },
-    take: counts => {
+    takeUnchecked: counts => {
       for (const [service, count] of counts) spend(service, count);
     },
     tryTake: counts => tryTake(counts),
@@ -198,7 +198,7 @@
       for (const [service, count] of counts) pace(service, count);
       return true;
     },
-    use: () =>
+    usage: () =>
       [...usages].map(([service, usage]) => ({
         service,
         spentCount: usage.repeats.latest(partOf()),
--- a/src/process/repeats/retry_grant.ts
+++ b/src/process/repeats/retry_grant.ts
@@ -3,12 +3,12 @@
  */
 
 /** Retries lent to one attempt; settled exactly once. */
-export interface RetryLoan {
+export interface DelegatedRetries {
   readonly count: number;
   /** Returns what the callee left unspent. */
-  settle(unspentCount: number): void;
+  reclaim(unspentCount: number): void;
   /** Writes the loan off because no answer reported what is left. */
-  forfeit(): void;
+  discard(): void;
 }
 
 /** Creates the grant of a request that may cause `count` retries. */
@@ -20,7 +20,7 @@
   /** Takes one retry for an attempt beyond the first. */
   abstract trySpend(): boolean;
   /** Lends a part of the grant to an attempt. */
-  abstract lend(): RetryLoan;
+  abstract delegate(): DelegatedRetries;
   /**
    * Ends the grant and returns what remains, to be given back. Calls that are
    * still being made for the request get nothing more from it.
--- a/src/process/repeats/shared_retry_grant.ts
+++ b/src/process/repeats/shared_retry_grant.ts
@@ -1,24 +1,24 @@
 /**
  * Retry grant of one request on one host: a pool that parallel calls share.
  */
-import type {RetryLoan} from './retry_grant.js';
+import type {DelegatedRetries} from './retry_grant.js';
 import {RetryGrant} from './retry_grant.js';
 
 /** Part of the remaining retries that goes with one attempt. */
-export type LendingRule = (remainingCount: number) => number;
+export type DelegationRule = (remainingCount: number) => number;
 
 /**
  * Lends all but one. The deeper a retry, the less work it repeats, so most of
  * the grant goes down; but an answer that is lost forfeits what was lent, and
  * only a retry kept back can then repeat the attempt from here.
  */
-export const lendAllButOne: LendingRule = remainingCount =>
+export const delegateAllButOne: DelegationRule = remainingCount =>
   Math.max(0, remainingCount - 1);
 
 /** Creates a grant; a count that is not a number of at least 1 is 0. */
 export function createRetryGrant(
   count: number,
-  lendingRule: LendingRule = lendAllButOne,
+  lendingRule: DelegationRule = delegateAllButOne,
 ): RetryGrant {
   return new SharedRetryGrant(toCount(count), lendingRule);
 }
@@ -29,7 +29,7 @@
 
   constructor(
     private remainingCount: number,
-    private readonly lendingRule: LendingRule,
+    private readonly lendingRule: DelegationRule,
   ) {
     super();
   }
@@ -44,18 +44,18 @@
     return true;
   }
 
-  override lend(): RetryLoan {
+  override delegate(): DelegatedRetries {
     const lentCount = this.lendingRule(this.remainingCount);
     this.remainingCount -= lentCount;
     let isSettled = false;
     return {
       count: lentCount,
-      settle: unspentCount => {
+      reclaim: unspentCount => {
         if (isSettled) return;
         isSettled = true;
         this.takeBack(unspentCount, lentCount);
       },
-      forfeit: () => {
+      discard: () => {
         isSettled = true;
       },
     };
--- a/src/process/settings/endpoint_text.ts
+++ b/src/process/settings/format_endpoint.ts
@@ -4,6 +4,6 @@
 import type {Endpoint} from './node_settings.js';
 
 /** The text `address:port`. */
-export function endpointText({address, port}: Endpoint): string {
+export function formatEndpoint({address, port}: Endpoint): string {
   return `${address}:${String(port)}`;
 }
--- a/src/process/settings/own_settings_file.ts
+++ b/src/process/settings/read_settings_file.ts
@@ -5,8 +5,8 @@
 
 import {describeError} from '../../base/errors.js';
 import {ROOT_PATH} from '../../version/problem.js';
-import type {SettingsParseResult} from './own_settings_schema.js';
-import {parseSettings} from './own_settings_schema.js';
+import type {SettingsParseResult} from './settings_file_schema.js';
+import {parseSettings} from './settings_file_schema.js';
 
 /** Reads and checks a settings file; a file that cannot be read is a problem. */
 export function readSettingsFile(path: string): SettingsParseResult {
--- a/src/process/settings/own_settings.ts
+++ b/src/process/settings/settings_file.ts
@@ -22,7 +22,7 @@
 }
 
 /** The whole settings file. */
-export interface OwnSettings {
+export interface SettingsFile {
   readonly hostName: string;
   readonly service: string;
   readonly availabilityZone: string;
--- a/src/process/settings/own_settings_schema.ts
+++ b/src/process/settings/settings_file_schema.ts
@@ -8,12 +8,12 @@
 import {addressField, hostNameField} from '../../version/host_list_schema.js';
 import {createDocumentDecoder} from '../../version/json_document.js';
 import type {Problem} from '../../version/problem.js';
-import {nameField, wholeNumberField} from '../../version/schema_fields.js';
-import type {ListenAddress, OwnSettings} from './own_settings.js';
+import {nameField, integerField} from '../../version/schema_fields.js';
+import type {ListenAddress, SettingsFile} from './settings_file.js';
 
 /** What became of a settings file. */
 export type SettingsParseResult =
-  | {readonly kind: 'parsed'; readonly settings: OwnSettings}
+  | {readonly kind: 'parsed'; readonly settings: SettingsFile}
   | {readonly kind: 'invalid'; readonly problems: readonly Problem[]};
 
 const PORT_MAXIMUM = 65_535;
@@ -30,12 +30,12 @@
 
 const listenSchema = Schema.Struct({
   address: addressField,
-  port: wholeNumberField({minimum: 0, maximum: PORT_MAXIMUM}),
+  port: integerField({minimum: 0, maximum: PORT_MAXIMUM}),
 }).annotate({description: 'an object with address and port'});
 
 const connectSchema = Schema.Struct({
   address: addressField,
-  port: wholeNumberField({minimum: 1, maximum: PORT_MAXIMUM}),
+  port: integerField({minimum: 1, maximum: PORT_MAXIMUM}),
 });
 
 const platformUrlField = Schema.String.annotate({
@@ -53,14 +53,14 @@
     caller: listenSchema,
     local: Schema.Struct({
       address: loopbackAddressField,
-      port: wholeNumberField({minimum: 0, maximum: PORT_MAXIMUM}),
+      port: integerField({minimum: 0, maximum: PORT_MAXIMUM}),
     }),
     peer: listenSchema,
     admin: listenSchema,
   }).annotate({description: 'an object with caller, local, peer and admin'}),
   upstream: connectSchema,
   platformUrl: platformUrlField,
-  graceMillis: wholeNumberField(
+  graceMillis: integerField(
     {minimum: 1000, maximum: HOUR_MILLIS},
     'milliseconds',
   ).pipe(Schema.withDecodingDefaultKey(Effect.succeed(DEFAULT_GRACE_MILLIS))),
@@ -72,7 +72,7 @@
 export function parseSettings(bytes: Uint8Array): SettingsParseResult {
   const decoded = decodeSettings(bytes);
   if (decoded.kind === 'invalid') return decoded;
-  const settings: OwnSettings = decoded.value;
+  const settings: SettingsFile = decoded.value;
   const problems = [
     ...findSharedPorts(settings),
     ...findUpstreamLoop(settings),
@@ -95,7 +95,7 @@
   return isPlain && isIP(hostname.replace(/^\[|\]$/g, '')) !== 0;
 }
 
-function findSharedPorts(settings: OwnSettings): readonly Problem[] {
+function findSharedPorts(settings: SettingsFile): readonly Problem[] {
   const listeners = Object.entries(settings.listen);
   return listeners.flatMap(([name, listener], index) => {
     const earlier = listeners
@@ -113,7 +113,7 @@
 }
 
 /** A node whose upstream is one of its own listeners would call itself. */
-function findUpstreamLoop(settings: OwnSettings): readonly Problem[] {
+function findUpstreamLoop(settings: SettingsFile): readonly Problem[] {
   const {upstream} = settings;
   const own = Object.entries(settings.listen).find(([, listener]) =>
     overlap(upstream, listener),
--- a/src/process/stop/stop_plan.ts
+++ b/src/process/stop/stop_plan.ts
@@ -14,20 +14,20 @@
 /** A request that comes in. */
 export interface IncomingRequest {
   /** A call that the own upstream makes for a request that it works on. */
-  readonly isUpstreams: boolean;
+  readonly isFromUpstream: boolean;
 }
 
 /** The stop of one node. */
 export interface StopPlan {
   readonly isStopping: boolean;
   /** Until when requests of clients are taken. */
-  readonly takingUntilMillis: number;
+  readonly acceptingUntilMillis: number;
   /** Until when what was taken may be at work. */
   readonly finishingUntilMillis: number;
   /** When the process must have ended. */
   readonly endMillis: number;
   begin(graceMillis: number): void;
-  takes(request: IncomingRequest): boolean;
+  accepts(request: IncomingRequest): boolean;
 }
 
 /**
@@ -57,7 +57,7 @@
     get isStopping() {
       return endMillis !== Infinity;
     },
-    get takingUntilMillis() {
+    get acceptingUntilMillis() {
       return takingUntilMillis;
     },
     get finishingUntilMillis() {
@@ -73,8 +73,8 @@
       finishingUntilMillis = now + graceMillis - partOf(graceMillis, ANSWERING);
       endMillis = now + graceMillis - partOf(graceMillis, ENDING);
     },
-    takes: ({isUpstreams}) =>
-      nowMillis() < (isUpstreams ? finishingUntilMillis : takingUntilMillis),
+    accepts: ({isFromUpstream}) =>
+      nowMillis() < (isFromUpstream ? finishingUntilMillis : takingUntilMillis),
   };
 }
 
--- a/src/protocol/crash_report_codec.ts
+++ b/src/protocol/crash_report_codec.ts
@@ -1,8 +1,13 @@
 /**
  * Reports of crashes as payloads of frames.
  */
-import type {CrashFields, CrashReport, CrashSummary} from './crash_fields.js';
-import {areTexts, isNumber, parseJson, readList} from './message_payload.js';
+import type {CrashFields, CrashReport, CrashSummary} from './crash_messages.js';
+import {
+  areStrings,
+  isFiniteNumber,
+  parseJson,
+  parseList,
+} from './message_payload.js';
 
 /** First byte of a report that asks for one; other questions begin with 1 and 2. */
 const CRASH_REPORT = 3;
@@ -37,8 +42,8 @@
   if (!Array.isArray(value)) return undefined;
   const [digest, crashList, summaryList, wantedIds] =
     value as readonly unknown[];
-  const crashes = readList(crashList, crashOf);
-  const summaries = readList(summaryList, summaryOf);
+  const crashes = parseList(crashList, crashOf);
+  const summaries = parseList(summaryList, summaryOf);
   if (typeof digest !== 'string' || !isTextList(wantedIds)) return undefined;
   if (crashes === undefined || summaries === undefined) return undefined;
   return {digest, crashes, summaries, wantedIds};
@@ -58,7 +63,7 @@
   if (typeof crashId !== 'string' || typeof upstreamId !== 'string') {
     return undefined;
   }
-  if (!isNumber(ageMillis) || ageMillis < 0) return undefined;
+  if (!isFiniteNumber(ageMillis) || ageMillis < 0) return undefined;
   if (!isTextList(fingerprints) || !isTextList(cleared)) return undefined;
   return {
     crashId,
@@ -70,5 +75,5 @@
 }
 
 function isTextList(value: unknown): value is readonly string[] {
-  return Array.isArray(value) && areTexts(value as readonly unknown[]);
+  return Array.isArray(value) && areStrings(value as readonly unknown[]);
 }
--- a/src/protocol/own_headers.ts
+++ b/src/protocol/fulmarhollow_headers.ts
@@ -4,7 +4,7 @@
 import type {WireHeaders} from './wire_headers.js';
 
 /** Lower-case names. */
-export const OWN_HEADERS: Required<
+export const FULMARHOLLOW_HEADERS: Required<
   Omit<WireHeaders, 'signature' | 'upstreamId'>
 > = {
   attemptId: 'fulmarhollow-request-id',
--- a/src/protocol/hop_messages.ts
+++ b/src/protocol/hop_messages.ts
@@ -91,7 +91,7 @@
   | 'cancelled';
 
 /** What came of a request. */
-export interface HopAnswer {
+export interface HopResponse {
   readonly outcome: HopOutcome;
   readonly reason: HopReason;
   /** A call that was made for the request failed. */
@@ -106,11 +106,11 @@
   /** Up to which the receiver has the documents in force, if it reports it. */
   readonly knownPosition?: PositionFields | undefined;
   /** The upstream's answer; `undefined` unless the outcome is `answered`. */
-  readonly message: AnswerFields | undefined;
+  readonly message: ResponseFields | undefined;
 }
 
 /** An upstream's answer without its body. */
-export interface AnswerFields {
+export interface ResponseFields {
   readonly statusCode: number;
   /** Names and values in turn, as received. */
   readonly headers: readonly string[];
--- a/src/protocol/hop_request_codec.ts
+++ b/src/protocol/hop_request_codec.ts
@@ -4,10 +4,10 @@
 import type {BodyForm, HopRequest, OriginFields} from './hop_messages.js';
 import type {WithBody} from './message_payload.js';
 import type {PositionList} from './position_codec.js';
-import {listOfPosition, positionOf} from './position_codec.js';
+import {toPositionList, parsePosition} from './position_codec.js';
 import {
-  areTexts,
-  isNumber,
+  areStrings,
+  isFiniteNumber,
   joinPayload,
   splitPayload,
 } from './message_payload.js';
@@ -65,7 +65,7 @@
       ...listOfName(origin.organisationName),
     ],
     Math.round(request.usualMillis ?? 0),
-    ...listOfPosition(request.knownPosition),
+    ...toPositionList(request.knownPosition),
   ];
   return joinPayload(list, body);
 }
@@ -83,13 +83,15 @@
   const startWithinMillis = list[10];
   const origin = originOf(list[11]);
   const usualMillis = list[12];
-  const knownPosition = positionOf(list[13], list[14]);
-  if (!areTexts([hopId, attemptId, upstreamId, callerService])) {
+  const knownPosition = parsePosition(list[13], list[14]);
+  if (!areStrings([hopId, attemptId, upstreamId, callerService])) {
     return undefined;
   }
-  if (!areTexts([method, target]) || !Array.isArray(headers)) return undefined;
-  if (!isNumber(leftMillis) || !isNumber(startWithinMillis)) return undefined;
-  if (origin === undefined || !areTexts(headers)) return undefined;
+  if (!areStrings([method, target]) || !Array.isArray(headers))
+    return undefined;
+  if (!isFiniteNumber(leftMillis) || !isFiniteNumber(startWithinMillis))
+    return undefined;
+  if (origin === undefined || !areStrings(headers)) return undefined;
   return {
     message: {
       hopId: hopId ?? '',
@@ -104,7 +106,7 @@
       leftMillis,
       startWithinMillis,
       origin,
-      ...(isNumber(usualMillis) && usualMillis > 0 ? {usualMillis} : {}),
+      ...(isFiniteNumber(usualMillis) && usualMillis > 0 ? {usualMillis} : {}),
       ...(knownPosition === undefined ? {} : {knownPosition}),
     },
     body: parts.body,
@@ -118,14 +120,15 @@
   const [repeat, repeats, organisationName] = rest;
   if (typeof rootId !== 'string') return undefined;
   if (typeof rootRouteName !== 'string') return undefined;
-  if (!isNumber(importance) || !isNumber(rootAgeMillis)) return undefined;
+  if (!isFiniteNumber(importance) || !isFiniteNumber(rootAgeMillis))
+    return undefined;
   return {
     importance,
     rootId,
     rootRouteName,
     rootAgeMillis,
     isRepeat: repeat === 1,
-    repeatsCount: isNumber(repeats) ? repeats : 0,
+    repeatsCount: isFiniteNumber(repeats) ? repeats : 0,
     ...(typeof organisationName === 'string' ? {organisationName} : {}),
   };
 }
--- a/src/protocol/hop_answer_codec.ts
+++ b/src/protocol/hop_response_codec.ts
@@ -2,19 +2,19 @@
  * Answers between nodes as payloads of frames.
  */
 import type {
-  AnswerFields,
-  HopAnswer,
+  ResponseFields,
+  HopResponse,
   HopOutcome,
   HopReason,
 } from './hop_messages.js';
 import type {LoadList} from './load_codec.js';
-import {listOfLoad, loadsOf} from './load_codec.js';
+import {toLoadList, parseLoads} from './load_codec.js';
 import type {WithBody} from './message_payload.js';
 import type {PositionList} from './position_codec.js';
-import {listOfPosition, positionOf} from './position_codec.js';
+import {toPositionList, parsePosition} from './position_codec.js';
 import {
-  areTexts,
-  isNumber,
+  areStrings,
+  isFiniteNumber,
   joinPayload,
   splitPayload,
 } from './message_payload.js';
@@ -34,7 +34,7 @@
 ];
 
 /** Writes an answer with its body or the beginning of it. */
-export function encodeHopAnswer(answer: HopAnswer, start: Buffer): Buffer {
+export function encodeHopResponse(answer: HopResponse, start: Buffer): Buffer {
   const {message} = answer;
   const list: AnswerList = [
     answer.outcome,
@@ -42,7 +42,7 @@
     answer.hasFailedCall ? 1 : 0,
     answer.unspentCount,
     [...answer.calls],
-    answer.loads.map(listOfLoad),
+    answer.loads.map(toLoadList),
     message === undefined
       ? 0
       : [
@@ -51,7 +51,7 @@
           message.isUnframed ? 1 : 0,
           message.hasRest ? 1 : 0,
         ],
-    ...listOfPosition(answer.knownPosition),
+    ...toPositionList(answer.knownPosition),
     ...listOfCrashes(answer.crashesCount),
   ];
   return joinPayload(list, start);
@@ -62,16 +62,16 @@
 }
 
 /** Reads an answer; `undefined` if the payload is none. */
-export function decodeHopAnswer(
+export function decodeHopResponse(
   payload: Buffer,
-): WithBody<HopAnswer> | undefined {
+): WithBody<HopResponse> | undefined {
   const parts = splitPayload(payload);
   if (parts === undefined) return undefined;
   const list = parts.header as Partial<AnswerList>;
   const [outcome, reason, failed, unspentCount] = list;
   if (!isOutcome(outcome) || typeof reason !== 'string') return undefined;
   const message = messageOf(list[6]);
-  const knownPosition = positionOf(list[7], list[8]);
+  const knownPosition = parsePosition(list[7], list[8]);
   const crashesCount = list[9];
   if (outcome === 'answered' && message === undefined) return undefined;
   return {
@@ -79,23 +79,25 @@
       outcome,
       reason,
       hasFailedCall: failed === 1,
-      unspentCount: isNumber(unspentCount) ? unspentCount : 0,
+      unspentCount: isFiniteNumber(unspentCount) ? unspentCount : 0,
       calls: callsOf(list[4]),
-      loads: loadsOf(list[5]),
+      loads: parseLoads(list[5]),
       ...(knownPosition === undefined ? {} : {knownPosition}),
-      ...(isNumber(crashesCount) && crashesCount > 0 ? {crashesCount} : {}),
+      ...(isFiniteNumber(crashesCount) && crashesCount > 0
+        ? {crashesCount}
+        : {}),
       message,
     },
     body: parts.body,
   };
 }
 
-function messageOf(value: unknown): AnswerFields | undefined {
+function messageOf(value: unknown): ResponseFields | undefined {
   if (!Array.isArray(value)) return undefined;
   const list = value as readonly unknown[];
   const [statusCode, headers, unframed, rest] = list;
-  if (!isNumber(statusCode) || !Array.isArray(headers)) return undefined;
-  if (!areTexts(headers)) return undefined;
+  if (!isFiniteNumber(statusCode) || !Array.isArray(headers)) return undefined;
+  if (!areStrings(headers)) return undefined;
   return {
     statusCode,
     headers: headers as readonly string[],
@@ -110,7 +112,7 @@
   for (const item of value as readonly unknown[]) {
     if (!Array.isArray(item)) continue;
     const [service, count] = item as readonly unknown[];
-    if (typeof service === 'string' && isNumber(count)) {
+    if (typeof service === 'string' && isFiniteNumber(count)) {
       calls.set(service, count);
     }
   }
--- a/src/protocol/load_codec.ts
+++ b/src/protocol/load_codec.ts
@@ -2,10 +2,10 @@
  * Loads of upstreams as they go with messages between nodes.
  */
 import type {LoadFields, RejectionFields} from './hop_messages.js';
-import {isNumber} from './message_payload.js';
+import {isFiniteNumber} from './message_payload.js';
 
 /** Question for loads. */
-export const LOADS_QUESTION = Buffer.from([1]);
+export const LOADS_QUERY = Buffer.from([1]);
 
 type RejectionList = readonly [number, number];
 
@@ -33,7 +33,7 @@
 }
 
 /** A load as it goes into a message. */
-export function listOfLoad(load: LoadFields): LoadList {
+export function toLoadList(load: LoadFields): LoadList {
   return [
     load.upstreamId,
     load.service,
@@ -64,7 +64,7 @@
 }
 
 /** Reads loads, leaving out what is none. */
-export function loadsOf(value: unknown): readonly LoadFields[] {
+export function parseLoads(value: unknown): readonly LoadFields[] {
   if (!Array.isArray(value)) return [];
   const loads: LoadFields[] = [];
   for (const item of value as readonly unknown[]) {
@@ -83,9 +83,9 @@
   const [inFlight, queued, limit, average, level, age, slowness, ...rest] =
     figures;
   const rejections = rejectionsOf(rest);
-  if (!isNumber(inFlight) || !isNumber(queued)) return undefined;
-  if (!isNumber(limit) || !isNumber(average)) return undefined;
-  if (!isNumber(level) || !isNumber(age)) return undefined;
+  if (!isFiniteNumber(inFlight) || !isFiniteNumber(queued)) return undefined;
+  if (!isFiniteNumber(limit) || !isFiniteNumber(average)) return undefined;
+  if (!isFiniteNumber(level) || !isFiniteNumber(age)) return undefined;
   return {
     upstreamId,
     service,
@@ -95,7 +95,9 @@
     averageMillis: average,
     level,
     ageMillis: age,
-    ...(isNumber(slowness) && slowness > 0 ? {slownessRatio: slowness} : {}),
+    ...(isFiniteNumber(slowness) && slowness > 0
+      ? {slownessRatio: slowness}
+      : {}),
     ...(rejections === undefined ? {} : {rejections}),
   };
 }
@@ -104,7 +106,7 @@
   figures: readonly unknown[],
 ): RejectionFields | undefined {
   const [rejected, arrived] = figures;
-  if (!isNumber(rejected) || !isNumber(arrived)) return undefined;
+  if (!isFiniteNumber(rejected) || !isFiniteNumber(arrived)) return undefined;
   return {
     rejectedPerSecond: rejected,
     arrivedPerSecond: arrived,
@@ -113,14 +115,14 @@
 
 /** Writes the answer to a question about loads. */
 export function encodeLoads(loads: readonly LoadFields[]): Buffer {
-  return Buffer.from(JSON.stringify(loads.map(listOfLoad)));
+  return Buffer.from(JSON.stringify(loads.map(toLoadList)));
 }
 
 /** Reads it, leaving out what is none; a node without any sends nothing. */
 export function decodeLoads(payload: Buffer): readonly LoadFields[] {
   if (payload.length === 0) return [];
   try {
-    return loadsOf(JSON.parse(payload.toString()));
+    return parseLoads(JSON.parse(payload.toString()));
   } catch {
     return [];
   }
--- a/src/protocol/message_payload.ts
+++ b/src/protocol/message_payload.ts
@@ -47,12 +47,12 @@
 }
 
 /** Whether a value of a header is a number that can be worked with. */
-export function isNumber(value: unknown): value is number {
+export function isFiniteNumber(value: unknown): value is number {
   return typeof value === 'number' && Number.isFinite(value);
 }
 
 /** Whether all values are texts. */
-export function areTexts(values: readonly unknown[]): boolean {
+export function areStrings(values: readonly unknown[]): boolean {
   for (const value of values) {
     if (typeof value !== 'string') return false;
   }
@@ -60,7 +60,7 @@
 }
 
 /** Reads each item of a list; `undefined` if any cannot be read. */
-export function readList<T>(
+export function parseList<T>(
   value: unknown,
   read: (item: unknown) => T | undefined,
 ): readonly T[] | undefined {
--- a/src/protocol/quota_codec.ts
+++ b/src/protocol/quota_codec.ts
@@ -1,8 +1,12 @@
 /**
  * Reports of the use of quotas and their answers as payloads of frames.
  */
-import type {QuotaAllowance, QuotaReport, QuotaUse} from './quota_messages.js';
-import {isNumber, parseJson, readList} from './message_payload.js';
+import type {
+  QuotaAllowance,
+  QuotaReport,
+  QuotaUsage,
+} from './quota_messages.js';
+import {isFiniteNumber, parseJson, parseList} from './message_payload.js';
 
 /** First byte of a report; other questions begin with 1, 2 and 3. */
 const QUOTA_REPORT = 4;
@@ -38,11 +42,11 @@
   const value = parseJson(payload.subarray(1).toString());
   if (!Array.isArray(value)) return undefined;
   const [reporterId, zone, sequence, list] = value as readonly unknown[];
-  const uses = readList(list, useOf);
+  const uses = parseList(list, useOf);
   if (typeof reporterId !== 'string' || typeof zone !== 'string') {
     return undefined;
   }
-  if (!isNumber(sequence) || uses === undefined) return undefined;
+  if (!isFiniteNumber(sequence) || uses === undefined) return undefined;
   return {reporterId, zone, sequence, uses};
 }
 
@@ -67,7 +71,7 @@
 export function decodeQuotaAllowances(
   payload: Buffer,
 ): readonly QuotaAllowance[] | undefined {
-  return readList(parseJson(payload.toString()), allowanceOf);
+  return parseList(parseJson(payload.toString()), allowanceOf);
 }
 
 function withoutTrailingZeros(counts: readonly number[]): readonly number[] {
@@ -75,12 +79,13 @@
   return counts.slice(0, last + 1);
 }
 
-function useOf(value: unknown): QuotaUse | undefined {
+function useOf(value: unknown): QuotaUsage | undefined {
   if (!Array.isArray(value)) return undefined;
   const [organisation, ranCount, unconfirmedCount, offeredCounts] =
     value as readonly unknown[];
   if (typeof organisation !== 'string') return undefined;
-  if (!isNumber(ranCount) || !isNumber(unconfirmedCount)) return undefined;
+  if (!isFiniteNumber(ranCount) || !isFiniteNumber(unconfirmedCount))
+    return undefined;
   if (!areNumbers(offeredCounts)) return undefined;
   return {organisation, ranCount, unconfirmedCount, offeredCounts};
 }
@@ -90,7 +95,11 @@
   const [organisation, ratios, returnMillis, ran, limit, settling] =
     value as readonly unknown[];
   if (typeof organisation !== 'string' || !areNumbers(ratios)) return undefined;
-  if (!isNumber(returnMillis) || !isNumber(ran) || !isNumber(limit)) {
+  if (
+    !isFiniteNumber(returnMillis) ||
+    !isFiniteNumber(ran) ||
+    !isFiniteNumber(limit)
+  ) {
     return undefined;
   }
   return {
@@ -104,5 +113,7 @@
 }
 
 function areNumbers(value: unknown): value is readonly number[] {
-  return Array.isArray(value) && (value as readonly unknown[]).every(isNumber);
+  return (
+    Array.isArray(value) && (value as readonly unknown[]).every(isFiniteNumber)
+  );
 }
--- a/src/protocol/quota_messages.ts
+++ b/src/protocol/quota_messages.ts
@@ -11,11 +11,11 @@
   readonly zone: string;
   /** Rises with each report of a reporter; an older one that comes late is stale. */
   readonly sequence: number;
-  readonly uses: readonly QuotaUse[];
+  readonly uses: readonly QuotaUsage[];
 }
 
 /** Use of one organisation's quota at one node. */
-export interface QuotaUse {
+export interface QuotaUsage {
   readonly organisation: string;
   /** Requests that have run, less those taken back, since the process started. */
   readonly ranCount: number;
--- a/src/protocol/relay_codec.ts
+++ b/src/protocol/relay_codec.ts
@@ -1,7 +1,7 @@
 /**
  * Questions of nodes for changes of the published documents, and their answers.
  */
-import {isNumber, parseJson} from './message_payload.js';
+import {isFiniteNumber, parseJson} from './message_payload.js';
 import type {PositionFields} from './hop_messages.js';
 
 /** A change, as sent. */
@@ -13,7 +13,7 @@
 }
 
 /** What a node that was asked knows. */
-export interface RelayAnswer {
+export interface RelayResponse {
   readonly position: PositionFields;
   /** Its own watches of the source go well. */
   readonly isWatching: boolean;
@@ -25,21 +25,19 @@
 const CHANGES_WANTED = 2;
 
 /** Writes a question for what came after a position. */
-export function encodeRelayQuestion(position: PositionFields): Buffer {
+export function encodeRelayQuery(position: PositionFields): Buffer {
   const text = JSON.stringify([position.epoch, position.revision]);
   return Buffer.concat([Buffer.from([CHANGES_WANTED]), Buffer.from(text)]);
 }
 
 /** Reads a question; `undefined` if it is none for changes. */
-export function decodeRelayQuestion(
-  payload: Buffer,
-): PositionFields | undefined {
+export function decodeRelayQuery(payload: Buffer): PositionFields | undefined {
   if (payload[0] !== CHANGES_WANTED) return undefined;
   return positionOf(parseJson(payload.subarray(1).toString()));
 }
 
 /** Writes an answer. */
-export function encodeRelayAnswer(answer: RelayAnswer): Buffer {
+export function encodeRelayResponse(answer: RelayResponse): Buffer {
   const {position, isWatching, changes} = answer;
   return Buffer.from(
     JSON.stringify([
@@ -51,7 +49,9 @@
 }
 
 /** Reads an answer; `undefined` if it is none. */
-export function decodeRelayAnswer(payload: Buffer): RelayAnswer | undefined {
+export function decodeRelayResponse(
+  payload: Buffer,
+): RelayResponse | undefined {
   const value = parseJson(payload.toString());
   if (!Array.isArray(value)) return undefined;
   const [place, watching, list] = value as readonly unknown[];
@@ -67,13 +67,13 @@
 function changeOf(value: unknown): ChangeFields | undefined {
   if (!Array.isArray(value)) return undefined;
   const [key, revision, text] = value as readonly unknown[];
-  if (typeof key !== 'string' || !isNumber(revision)) return undefined;
+  if (typeof key !== 'string' || !isFiniteNumber(revision)) return undefined;
   return {key, revision, text: typeof text === 'string' ? text : undefined};
 }
 
 function positionOf(value: unknown): PositionFields | undefined {
   if (!Array.isArray(value)) return undefined;
   const [epoch, revision] = value as readonly unknown[];
-  if (!isNumber(epoch) || !isNumber(revision)) return undefined;
+  if (!isFiniteNumber(epoch) || !isFiniteNumber(revision)) return undefined;
   return {epoch, revision};
 }
--- a/src/request/attempts.ts
+++ b/src/request/attempt_runner.ts
@@ -3,12 +3,12 @@
  * proven harmless and within bounds.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
-import type {ExecutionCall, ExecutionEnd} from '../connection/execution.js';
+import type {ExecutionCall, ExecutionResult} from '../connection/execution.js';
 import type {RemoteExecution} from '../connection/remote_execution.js';
-import type {AttemptPatience} from '../process/repeats/attempt_patience.js';
+import type {AttemptTimeouts} from '../process/repeats/attempt_timeouts.js';
 import type {
   AttemptHistory,
-  OfferEnd,
+  OfferOutcome,
 } from '../process/repeats/attempt_history.js';
 import {createAttemptHistory} from '../process/repeats/attempt_history.js';
 import type {
@@ -17,19 +17,19 @@
 } from '../process/placement/placement.js';
 import type {StopPlan} from '../process/stop/stop_plan.js';
 import type {UpstreamEntry} from '../process/membership/upstream_entry.js';
-import type {AttemptEnd} from '../process/placement/upstream_record.js';
+import type {AttemptOutcome} from '../process/placement/upstream_stats.js';
 import type {HopReason} from '../protocol/hop_messages.js';
 import type {AttemptedRequest} from './attempted_request.js';
 import type {CrashQuarantine} from './crash_quarantine.js';
 import type {LocalExecution} from './local_execution.js';
-import type {PatientEnd} from './patient_attempt.js';
-import {runPatiently} from './patient_attempt.js';
+import type {TimedAttemptResult} from './attempt_timeout.js';
+import {runWithAttemptTimeout} from './attempt_timeout.js';
 import type {RepeatRules} from './repeat_rules.js';
 import {wasDispatched} from './repeat_rules.js';
 
 /** What came of all attempts together. */
-export interface AttemptsEnd {
-  readonly last: ExecutionEnd;
+export interface AttemptsResult {
+  readonly lastResult: ExecutionResult;
   /** Some attempt may have run. */
   readonly mayHaveRun: boolean;
   /** Upstreams that were handed the request. */
@@ -39,22 +39,22 @@
 }
 
 /** Attempts requests. */
-export interface Attempts {
-  run(request: AttemptedRequest): Promise<AttemptsEnd>;
+export interface AttemptRunner {
+  run(request: AttemptedRequest): Promise<AttemptsResult>;
 }
 
 /** What attempts need. */
-export interface AttemptsOptions {
+export interface AttemptRunnerOptions {
   readonly hostKey: string;
   readonly placement: PlacementChooser;
   readonly local: LocalExecution;
   readonly remote: RemoteExecution;
   readonly rules: RepeatRules;
   readonly quarantine: Pick<CrashQuarantine, 'holds'>;
-  readonly patience: AttemptPatience;
+  readonly attemptTimeouts: AttemptTimeouts;
   readonly stop: StopPlan;
   readonly nowMillis: () => number;
-  readonly onAttempt: (end: ExecutionEnd) => void;
+  readonly onAttempt: (end: ExecutionResult) => void;
   readonly onRetry: (request: AttemptedRequest, reason: HopReason) => void;
 }
 
@@ -66,59 +66,64 @@
 
 const NO_IDS: ReadonlySet<string> = new Set();
 
-const NOWHERE: ExecutionEnd = {kind: 'refused', reason: 'unreachable'};
+const NOWHERE: ExecutionResult = {kind: 'refused', reason: 'unreachable'};
 
-const QUARANTINED: ExecutionEnd = {kind: 'refused', reason: 'quarantined'};
+const QUARANTINED: ExecutionResult = {kind: 'refused', reason: 'quarantined'};
 
 /** Creates the attempts of one node. */
-export function createAttempts(options: AttemptsOptions): Attempts {
+export function createAttemptRunner(
+  options: AttemptRunnerOptions,
+): AttemptRunner {
   return {run: request => runAttempts(options, request)};
 }
 
 async function runAttempts(
-  options: AttemptsOptions,
+  options: AttemptRunnerOptions,
   request: AttemptedRequest,
-): Promise<AttemptsEnd> {
+): Promise<AttemptsResult> {
   const history = createAttemptHistory();
-  let last: ExecutionEnd = NOWHERE;
+  let lastResult: ExecutionResult = NOWHERE;
   let upstreamId: string | undefined;
   let call = request.call;
   const {rules} = options;
 
-  while (history.mayOffer) {
+  while (history.canOffer) {
     if (options.quarantine.holds(request.call)) {
-      if (history.ranCount === 0) last = QUARANTINED;
+      if (history.ranCount === 0) lastResult = QUARANTINED;
       break;
     }
-    const usualMillis = options.patience.usualMillis(patienceKeyOf(request));
+    const usualMillis = options.attemptTimeouts.usualMillis(
+      patienceKeyOf(request),
+    );
     const placement = placeNext(options, request, {history, usualMillis});
     if (placement === undefined) break;
     const {entry} = placement.upstream;
     upstreamId = entry.id;
     history.begin(entry.id);
-    const {end, isGivenUp} = await attemptPatiently(options, request, {
+    const {end, isAbandoned} = await attemptPatiently(options, request, {
       entry,
       call: {...call, usualMillis},
       history,
     });
-    last = end;
-    placement.end(outcomeOf(last));
-    options.onAttempt(last);
-    history.end(offerEndOf(last));
-    if (!history.mayOffer) break;
+    lastResult = end;
+    placement.end(outcomeOf(lastResult));
+    options.onAttempt(lastResult);
+    history.end(offerEndOf(lastResult));
+    if (!history.canOffer) break;
     const mayTryAgain = (): boolean =>
-      rules.mayTryAgain(request, last, history.ranCount);
-    if (!isGivenUp && !mayTryAgain()) break;
-    if (isSilent(last)) await awaitReachableUpstream(options, request, history);
-    if (wasDispatched(last)) {
-      options.onRetry(request, reasonOf(last));
+      rules.mayRetry(request, lastResult, history.ranCount);
+    if (!isAbandoned && !mayTryAgain()) break;
+    if (isSilent(lastResult))
+      await awaitReachableUpstream(options, request, history);
+    if (wasDispatched(lastResult)) {
+      options.onRetry(request, reasonOf(lastResult));
       call = {...call, origin: {...call.origin, isRepeat: true}};
     }
   }
   return {
-    last,
+    lastResult,
     mayHaveRun: history.ranCount > 0,
-    sentCount: history.handedCount,
+    sentCount: history.deliveredCount,
     upstreamId,
   };
 }
@@ -132,14 +137,16 @@
 
 /** Falls back to upstreams that rejected the request if no other is left. */
 function placeNext(
-  {placement, remote}: AttemptsOptions,
+  {placement, remote}: AttemptRunnerOptions,
   {service, route}: AttemptedRequest,
   {history, usualMillis}: NextOffer,
 ): Placement | undefined {
   const goal = {objectiveMillis: route.objectiveMillis, usualMillis};
   const choose = (): Placement | undefined =>
     placement.choose(service, history.excludedIds, remote.isLost, goal);
-  return choose() ?? (history.readmitRejecting() ? choose() : undefined);
+  return (
+    choose() ?? (history.readmitRejectingUpstreams() ? choose() : undefined)
+  );
 }
 
 /**
@@ -148,17 +155,17 @@
  * for longer.
  */
 async function awaitReachableUpstream(
-  options: AttemptsOptions,
+  options: AttemptRunnerOptions,
   {service, call}: AttemptedRequest,
   history: AttemptHistory,
 ): Promise<void> {
   const {placement, remote, nowMillis} = options;
   if (!call.isRepeatable) return;
   const canReachBeside = (ids: ReadonlySet<string>): boolean =>
-    placement.canReachOther(service, ids, remote.isLost);
+    placement.hasReachableAlternative(service, ids, remote.isLost);
   const untilMillis = nowMillis() + REACHABLE_WAIT_MILLIS;
   while (!canReachBeside(history.excludedIds)) {
-    if (canReachBeside(NO_IDS)) history.readmitAll();
+    if (canReachBeside(NO_IDS)) history.readmitAllUpstreams();
     else if (call.cancel.isCancelled || nowMillis() >= untilMillis) return;
     else await sleep(REACHABLE_POLL_MILLIS);
   }
@@ -174,35 +181,35 @@
 
 /** An attempt that is the last one anyway is waited for to its deadline. */
 async function attemptPatiently(
-  options: AttemptsOptions,
+  options: AttemptRunnerOptions,
   request: AttemptedRequest,
   {entry, call, history}: NextAttempt,
-): Promise<PatientEnd> {
-  const {patience, placement, rules, nowMillis} = options;
+): Promise<TimedAttemptResult> {
+  const {attemptTimeouts, placement, rules, nowMillis} = options;
   const key = patienceKeyOf(request);
   const startedMillis = nowMillis();
   const hasNext = (): boolean =>
-    placement.hasOther(
+    placement.hasAlternative(
       request.service,
       history.excludedIds,
       options.remote.isLost,
     );
-  const patient = await runPatiently({
+  const patient = await runWithAttemptTimeout({
     call,
-    patienceMillis: call.isRepeatable
-      ? patience.patienceMillis(key)
+    attemptTimeoutMillis: call.isRepeatable
+      ? attemptTimeouts.timeoutMillis(key)
       : undefined,
     execute: patientCall => attemptAt(options, entry, patientCall),
     // A node that stops may end before a second try does, and the first one, at
     // which an upstream is at work, would be lost with it.
-    mayGiveUp: () =>
+    mayAbandon: () =>
       !options.stop.isStopping &&
       hasNext() &&
-      rules.mayGiveUp(request, history.ranCount),
+      rules.mayAbandonAttempt(request, history.ranCount),
   });
-  if (patient.isGivenUp) patience.observeGivenUp(key);
+  if (patient.isAbandoned) attemptTimeouts.recordTimeout(key);
   else if (patient.end.kind === 'answered') {
-    patience.observeAnswer(key, nowMillis() - startedMillis);
+    attemptTimeouts.recordResponse(key, nowMillis() - startedMillis);
   }
   return patient;
 }
@@ -212,10 +219,10 @@
 }
 
 function attemptAt(
-  options: AttemptsOptions,
+  options: AttemptRunnerOptions,
   entry: UpstreamEntry,
   call: ExecutionCall,
-): Promise<ExecutionEnd> {
+): Promise<ExecutionResult> {
   if (entry.hostKey !== options.hostKey) {
     return options.remote.execute(entry, call);
   }
@@ -226,11 +233,11 @@
   });
 }
 
-function isSilent(end: ExecutionEnd): boolean {
+function isSilent(end: ExecutionResult): boolean {
   return end.kind === 'unknown' && end.reason === 'silent';
 }
 
-function offerEndOf(end: ExecutionEnd): OfferEnd {
+function offerEndOf(end: ExecutionResult): OfferOutcome {
   if (end.kind !== 'refused') return 'ran';
   switch (end.reason) {
     case 'not-executed':
@@ -243,11 +250,11 @@
   }
 }
 
-function reasonOf(end: ExecutionEnd): HopReason {
+function reasonOf(end: ExecutionResult): HopReason {
   return end.kind === 'answered' ? 'none' : end.reason;
 }
 
-function outcomeOf(end: ExecutionEnd): AttemptEnd {
+function outcomeOf(end: ExecutionResult): AttemptOutcome {
   if (end.kind === 'answered') {
     if (end.answer.statusCode < 500) return 'served';
     return end.hasFailedCall ? 'neutral' : 'failed';
--- a/src/request/crash_detector.ts
+++ b/src/request/crash_detector.ts
@@ -7,9 +7,9 @@
  */
 import type {Readable} from 'node:stream';
 import type {ProbeResult} from '../connection/upstream_probe.js';
-import {readWhole} from '../connection/received_answer.js';
+import {waitUntilClosed} from '../connection/received_response.js';
 import type {FingerprintedRequest} from '../connection/request_fingerprint.js';
-import type {UpstreamEnd} from '../connection/upstream_sender.js';
+import type {UpstreamResult} from '../connection/upstream_sender.js';
 import {createExecutionsInProgress} from '../process/quarantine/executions_in_progress.js';
 
 /** A request that the upstream was handed. */
@@ -25,7 +25,10 @@
   /** Records a request that is dispatched now. */
   begin(request: DispatchedRequest): void;
   /** Records its end; true if the upstream crashed under it. */
-  end(request: DispatchedRequest, end: UpstreamEnd): boolean | Promise<boolean>;
+  end(
+    request: DispatchedRequest,
+    end: UpstreamResult,
+  ): boolean | Promise<boolean>;
 }
 
 /** What detection needs. */
@@ -78,15 +81,15 @@
     request: DispatchedRequest,
     rest: Readable,
   ): Promise<void> => {
-    if (await readWhole(rest)) executions.end(request);
+    if (await waitUntilClosed(rest)) executions.end(request);
     else await endLost(request);
   };
 
   return {
     begin: executions.begin,
     end: (request, end) => {
-      if (end.kind === 'answered' && end.answer.rest !== undefined) {
-        void endWithRest(request, end.answer.rest);
+      if (end.kind === 'answered' && end.answer.bodyRest !== undefined) {
+        void endWithRest(request, end.answer.bodyRest);
         return false;
       }
       if (end.kind === 'unknown' && end.reason === 'connection-lost') {
--- a/src/request/crash_quarantine.ts
+++ b/src/request/crash_quarantine.ts
@@ -8,36 +8,36 @@
  * not until the upstreams that crashed last can be there again. Those of one crash
  * run as before: upstreams that crash by themselves leave many of these.
  */
-import {readWhole} from '../connection/received_answer.js';
+import {waitUntilClosed} from '../connection/received_response.js';
 import type {
   FingerprintedRequest,
   RequestFingerprints,
 } from '../connection/request_fingerprint.js';
-import {fingerprintsOf} from '../connection/request_fingerprint.js';
-import type {UpstreamEnd} from '../connection/upstream_sender.js';
+import {computeFingerprints} from '../connection/request_fingerprint.js';
+import type {UpstreamResult} from '../connection/upstream_sender.js';
 import type {CrashEvidence} from '../process/quarantine/crash_evidence.js';
-import type {TurnWait} from '../process/quarantine/turn_queue.js';
-import {createTurnQueue} from '../process/quarantine/turn_queue.js';
+import type {SemaphoreWait} from '../process/quarantine/semaphore.js';
+import {createSemaphore} from '../process/quarantine/semaphore.js';
 
 /** A request as decisions and their log lines see it. */
-export interface IdentifiedRequest extends FingerprintedRequest {
+export interface QuarantineRequest extends FingerprintedRequest {
   readonly attemptId: string;
 }
 
 /** Decides for the requests of one node. */
 export interface CrashQuarantine {
   /** Whether a request must not be sent to any upstream. */
-  holds(request: IdentifiedRequest): boolean;
+  holds(request: QuarantineRequest): boolean;
   /**
    * Admits a request to the own upstream, or returns why not; a suspect may have to
    * wait for its turn. Ended by `end` once it was admitted.
    */
   admit(
-    request: IdentifiedRequest,
-    wait: TurnWait,
+    request: QuarantineRequest,
+    wait: SemaphoreWait,
   ): CrashRefusal | undefined | Promise<CrashRefusal | undefined>;
   /** Ends an execution that was admitted; left out, it was not handed over. */
-  end(request: IdentifiedRequest, end?: UpstreamEnd): void;
+  end(request: QuarantineRequest, end?: UpstreamResult): void;
   /** Crashes under a request so far. */
   crashesCount(request: FingerprintedRequest): number;
 }
@@ -50,13 +50,13 @@
   readonly evidence: CrashEvidence;
   /** A request is held or refused. */
   readonly onRefused: (
-    request: IdentifiedRequest,
+    request: QuarantineRequest,
     fingerprints: RequestFingerprints,
     reason: CrashRefusal,
   ) => void;
   /** A request that was suspected was answered. */
   readonly onCleared: (
-    request: IdentifiedRequest,
+    request: QuarantineRequest,
     fingerprints: RequestFingerprints,
   ) => void;
 }
@@ -78,22 +78,22 @@
 ): CrashQuarantine {
   const {evidence} = options;
   const fingerprints = new WeakMap<FingerprintedRequest, RequestFingerprints>();
-  const turns = createTurnQueue(1);
-  let isolated: IdentifiedRequest | undefined;
+  const semaphore = createSemaphore(1);
+  let isolated: QuarantineRequest | undefined;
 
   const identify = (request: FingerprintedRequest): RequestFingerprints => {
-    const known = fingerprints.get(request) ?? fingerprintsOf(request);
+    const known = fingerprints.get(request) ?? computeFingerprints(request);
     fingerprints.set(request, known);
     return known;
   };
   const listOf = (request: FingerprintedRequest): readonly string[] => {
-    const {content, contentOfCaller} = identify(request);
-    return [content, contentOfCaller];
+    const {content, contentAndCaller} = identify(request);
+    return [content, contentAndCaller];
   };
   const crashesCount = (request: FingerprintedRequest): number =>
     evidence.isEmpty ? 0 : evidence.crashesCount(listOf(request));
 
-  const refusalOf = (request: IdentifiedRequest): CrashRefusal | undefined => {
+  const refusalOf = (request: QuarantineRequest): CrashRefusal | undefined => {
     const list = listOf(request);
     if (evidence.isQuarantined(list)) return 'quarantined';
     const isPaused = evidence.lastCrashAgeMillis(list) < ISOLATED_PAUSE_MILLIS;
@@ -101,22 +101,22 @@
   };
 
   const refuse = (
-    request: IdentifiedRequest,
+    request: QuarantineRequest,
     reason: CrashRefusal,
   ): CrashRefusal => {
     options.onRefused(request, identify(request), reason);
     return reason;
   };
 
-  const endTurn = (request: IdentifiedRequest): void => {
+  const endTurn = (request: QuarantineRequest): void => {
     if (isolated !== request) return;
     isolated = undefined;
-    turns.release();
+    semaphore.release();
   };
 
   /** More may be known about the request when its turn comes. */
   const admitAfter = async (
-    request: IdentifiedRequest,
+    request: QuarantineRequest,
     turn: Promise<boolean>,
   ): Promise<CrashRefusal | undefined> => {
     if (!(await turn)) return refuse(request, 'isolated');
@@ -127,7 +127,7 @@
     return refuse(request, reason);
   };
 
-  const conclude = (request: IdentifiedRequest, end?: UpstreamEnd): void => {
+  const conclude = (request: QuarantineRequest, end?: UpstreamResult): void => {
     endTurn(request);
     if (evidence.isEmpty || end?.kind !== 'answered') return;
     if (!showsThatItRan(end.answer.statusCode)) return;
@@ -147,18 +147,18 @@
       if (crashesCount(request) < ISOLATED_CRASHES_COUNT) return undefined;
       const reason = refusalOf(request);
       if (reason !== undefined) return refuse(request, reason);
-      const turn = turns.take(wait);
+      const turn = semaphore.acquire(wait);
       if (turn !== true) return admitAfter(request, turn);
       isolated = request;
       return undefined;
     },
     end: (request, end) => {
-      const rest = end?.kind === 'answered' ? end.answer.rest : undefined;
+      const rest = end?.kind === 'answered' ? end.answer.bodyRest : undefined;
       if (rest === undefined) {
         conclude(request, end);
         return;
       }
-      void readWhole(rest).then(isWhole => {
+      void waitUntilClosed(rest).then(isWhole => {
         conclude(request, isWhole ? end : undefined);
       });
     },
--- a/src/request/entered_request.ts
+++ b/src/request/entered_request.ts
@@ -3,7 +3,7 @@
  * inherit.
  */
 import {randomUUID} from 'node:crypto';
-import type {Exchange} from '../connection/node_listener.js';
+import type {HttpExchange} from '../connection/http_listener.js';
 import type {InFlightParent} from '../process/repeats/in_flight_parents.js';
 import {createRetryGrant} from '../process/repeats/shared_retry_grant.js';
 import {
@@ -17,20 +17,20 @@
 import type {Organisation} from '../version/organisation.js';
 import type {ServiceRoute} from '../version/route_configuration.js';
 import type {RouteTable} from '../version/route_table.js';
-import type {AnsweredRequest} from './answered_request.js';
-import type {EntryAnswers} from './entry_answers.js';
+import type {OpenRequest} from './open_request.js';
+import type {EntryResponder} from './entry_responder.js';
 
 /** What entering needs. */
 export interface EntryOptions {
-  readonly names: WireHeaders;
+  readonly wireHeaders: WireHeaders;
   readonly targets: WeightedTargets;
   readonly stop: StopPlan;
-  readonly answers: EntryAnswers;
+  readonly responder: EntryResponder;
   readonly nowMillis: () => number;
 }
 
 /** A request that was read and has a route. */
-export interface EnteredRequest extends AnsweredRequest {
+export interface EnteredRequest extends OpenRequest {
   /** The request at the own upstream that this call is made for. */
   readonly parent: InFlightParent | undefined;
   /** Organisation of the client, if clients have API keys. */
@@ -60,7 +60,7 @@
 /** The client's id, or one of this node's where clients need not give one. */
 export function readAttemptId(
   names: WireHeaders,
-  exchange: Exchange,
+  exchange: HttpExchange,
 ): string | undefined {
   const id = exchange.request.headers[names.attemptId];
   if (typeof id === 'string' && id !== '') return id;
@@ -68,16 +68,16 @@
 }
 
 /** Settles what holds for a request from here on. */
-export function enterRequest(
+export function createEnteredRequest(
   options: EntryOptions,
-  exchange: Exchange,
+  exchange: HttpExchange,
   routed: RoutedRequest,
 ): EnteredRequest {
   const {route, attemptId, isLocal, parent, organisation} = routed;
   const arrivedMillis = options.nowMillis();
   const timeoutMillis =
-    readTimeout(options.names, exchange) ?? route.timeoutMillis;
-  options.answers.countEntered(parent !== undefined);
+    readTimeout(options.wireHeaders, exchange) ?? route.timeoutMillis;
+  options.responder.countEntered(parent !== undefined);
   const origin = parent?.origin ?? {
     importance: isLocal
       ? LEAST_IMPORTANT
@@ -118,7 +118,7 @@
 
 function readTimeout(
   names: WireHeaders,
-  exchange: Exchange,
+  exchange: HttpExchange,
 ): number | undefined {
   const text = exchange.request.headers[names.timeoutMillis];
   const millis = Number(text);
--- a/src/request/entry_answers.ts
+++ b/src/request/entry_responder.ts
@@ -1,9 +1,9 @@
 /**
  * Answers at the entry, with the line and the counters that explain each.
  */
-import {endsConnection, sendAnswer} from '../connection/answer_sender.js';
-import type {Exchange} from '../connection/node_listener.js';
-import {passedOnHeaders} from '../connection/raw_headers.js';
+import {isCloseDelimited, sendResponse} from '../connection/response_sender.js';
+import type {HttpExchange} from '../connection/http_listener.js';
+import {forwardedHeaders} from '../connection/raw_headers.js';
 import {hasBody} from '../connection/request_body.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
 import type {NodeMetrics} from '../process/log/node_metrics.js';
@@ -11,37 +11,37 @@
 import type {NoteHeaders} from '../protocol/wire_headers.js';
 import type {ServiceRoute} from '../version/route_configuration.js';
 import type {
-  AnsweredRequest,
-  LateRequest,
+  OpenRequest,
+  RequestDuringStop,
   OverQuotaRequest,
   ShedRequest,
-} from './answered_request.js';
-import type {AttemptsEnd} from './attempts.js';
+} from './open_request.js';
+import type {AttemptsResult} from './attempt_runner.js';
 
 /** Writes answers. */
-export interface EntryAnswers {
+export interface EntryResponder {
   /** Passes on what came of the attempts. */
-  finish(request: AnsweredRequest, end: AttemptsEnd): void;
+  sendResult(request: OpenRequest, end: AttemptsResult): void;
   /** The client left before the answer. */
-  noteLeft(request: AnsweredRequest, end: AttemptsEnd): void;
+  recordClientLeft(request: OpenRequest, end: AttemptsResult): void;
   /** Not run: the gate kept it out. */
-  shed(exchange: Exchange, request: ShedRequest): void;
+  shed(exchange: HttpExchange, request: ShedRequest): void;
   /** Not run: its organisation is over its quota. */
-  refuseOverQuota(exchange: Exchange, request: OverQuotaRequest): void;
+  refuseOverQuota(exchange: HttpExchange, request: OverQuotaRequest): void;
   /** Not run: this node stops and takes nothing more. */
-  refuseLate(exchange: Exchange, request: LateRequest): void;
+  refuseDuringStop(exchange: HttpExchange, request: RequestDuringStop): void;
   /** Not run: this node cannot serve anything yet. */
-  refuse(exchange: Exchange, refusal: {readonly reason: string}): void;
+  refuse(exchange: HttpExchange, refusal: {readonly reason: string}): void;
   /** The request itself is not acceptable. */
-  reject(exchange: Exchange, statusCode: number, reason: string): void;
+  reject(exchange: HttpExchange, statusCode: number, reason: string): void;
   /** Not run: the client has to send an API key that is in force. */
-  challenge(exchange: Exchange, reason: string): void;
+  challenge(exchange: HttpExchange, reason: string): void;
   /** Counts a request that entered, by who sent it. */
   countEntered(isUpstreams: boolean): void;
 }
 
 /** What answers need. */
-export interface EntryAnswersOptions {
+export interface EntryResponderOptions {
   readonly log: DecisionLog;
   readonly metrics: NodeMetrics;
   /** Headers of notes, where clients want them. */
@@ -86,7 +86,9 @@
 const NO_HEADERS: ReadonlySet<string> = new Set();
 
 /** Creates the answers of one node. */
-export function createEntryAnswers(options: EntryAnswersOptions): EntryAnswers {
+export function createEntryResponder(
+  options: EntryResponderOptions,
+): EntryResponder {
   const {log, metrics, nowMillis} = options;
 
   const returnMillis = (route: ServiceRoute | undefined): number => {
@@ -97,7 +99,7 @@
   };
 
   const write = (
-    exchange: Exchange,
+    exchange: HttpExchange,
     statusCode: number,
     headers: readonly string[],
   ): void => {
@@ -115,17 +117,17 @@
 
   /** A node that stops ends its connections where nothing is lost by it. */
   const closingHeaders = (
-    exchange: Exchange,
+    exchange: HttpExchange,
     isUnread: boolean,
   ): readonly string[] => {
     if (!options.stop.isStopping && !isUnread) return [];
-    if (!exchange.isLastRead()) return [];
-    exchange.endConnection();
+    if (!exchange.isNewestOnConnection()) return [];
+    exchange.ignoreFurtherRequests();
     return ['connection', 'close'];
   };
 
   const writeRefusal = (
-    exchange: Exchange,
+    exchange: HttpExchange,
     reason: string,
     millis: number,
     statusCode = STATUS_UNAVAILABLE,
@@ -151,7 +153,7 @@
   };
 
   /** Repeats that a request has spent of its grant. */
-  const repeatNotes = ({route, origin}: AnsweredRequest): readonly string[] => {
+  const repeatNotes = ({route, origin}: OpenRequest): readonly string[] => {
     const {notes} = options;
     if (notes === undefined) return [];
     const spentCount = route.repeatsCount - origin.grant.remaining();
@@ -163,45 +165,46 @@
     statusCode: number,
   ): number => {
     const millis = nowMillis() - request.arrivedMillis;
-    metrics.recordAnswer(request.route.name, statusCode, millis);
+    metrics.recordResponse(request.route.name, statusCode, millis);
     return Math.round(millis);
   };
 
-  const describe = (request: AnsweredRequest, end: AttemptsEnd) => ({
+  const describe = (request: OpenRequest, end: AttemptsResult) => ({
     requestId: request.attemptId,
     route: request.route.name,
     service: request.service,
     upstream: end.upstreamId,
     sentCount: end.sentCount,
     configurationVersion: options.configurationVersion(),
-    reason: end.last.kind === 'answered' ? 'answered' : end.last.reason,
+    reason:
+      end.lastResult.kind === 'answered' ? 'answered' : end.lastResult.reason,
   });
 
-  const finishAnswered = (request: AnsweredRequest, end: AttemptsEnd): void => {
-    if (end.last.kind !== 'answered') return;
-    const {answer} = end.last;
+  const finishAnswered = (request: OpenRequest, end: AttemptsResult): void => {
+    if (end.lastResult.kind !== 'answered') return;
+    const {answer} = end.lastResult;
     const {exchange} = request;
     const headers = [
-      ...passedOnHeaders(answer.headers, NO_HEADERS),
+      ...forwardedHeaders(answer.headers, NO_HEADERS),
       ...versionNotes(),
       ...repeatNotes(request),
       ...closingHeaders(exchange, false),
     ];
     const method = exchange.request.method ?? 'GET';
-    if (endsConnection(answer, method)) exchange.endConnection();
-    sendAnswer(exchange.response, answer, headers, method);
+    if (isCloseDelimited(answer, method)) exchange.ignoreFurtherRequests();
+    sendResponse(exchange.response, answer, headers, method);
     const millis = record(request, answer.statusCode);
     if (answer.statusCode < 500) return;
-    log.request('answered-failure', {
+    log.logRequestEvent('answered-failure', {
       ...describe(request, end),
       statusCode: answer.statusCode,
-      hasFailedCall: end.last.hasFailedCall,
+      hasFailedCall: end.lastResult.hasFailedCall,
       millis,
     });
   };
 
   const reject = (
-    exchange: Exchange,
+    exchange: HttpExchange,
     statusCode: number,
     reason: string,
     headers: readonly string[] = [],
@@ -210,7 +213,7 @@
       ...headers,
       ...failureNotes('not-run', reason),
     ]);
-    log.request('rejected', {
+    log.logRequestEvent('rejected', {
       statusCode,
       reason,
       host: exchange.request.headers.host,
@@ -220,21 +223,21 @@
   };
 
   return {
-    finish: (request, end) => {
+    sendResult: (request, end) => {
       const {exchange, route} = request;
-      if (end.last.kind === 'answered') {
+      if (end.lastResult.kind === 'answered') {
         finishAnswered(request, end);
         return;
       }
       if (!end.mayHaveRun) {
-        const {reason} = end.last;
+        const {reason} = end.lastResult;
         const returnAfter =
           reason === 'quarantined'
             ? RETURN_QUARANTINED_MILLIS
             : returnMillis(route);
         writeRefusal(exchange, reason, returnAfter);
         const millis = record(request, STATUS_UNAVAILABLE);
-        log.request('refused', {
+        log.logRequestEvent('refused', {
           ...describe(request, end),
           retryAfterMillis: Math.round(returnAfter),
           millis,
@@ -243,19 +246,23 @@
       }
       // Only the deadline cancels a request whose client is still there.
       const statusCode =
-        end.last.reason === 'cancelled'
+        end.lastResult.reason === 'cancelled'
           ? STATUS_GATEWAY_TIMEOUT
           : STATUS_BAD_GATEWAY;
       write(exchange, statusCode, [
-        ...failureNotes('unknown', end.last.reason),
+        ...failureNotes('unknown', end.lastResult.reason),
         ...repeatNotes(request),
       ]);
       const millis = record(request, statusCode);
-      log.request('failed', {...describe(request, end), statusCode, millis});
+      log.logRequestEvent('failed', {
+        ...describe(request, end),
+        statusCode,
+        millis,
+      });
     },
-    noteLeft: (request, end) => {
+    recordClientLeft: (request, end) => {
       const millis = Math.round(nowMillis() - request.arrivedMillis);
-      log.request('client-left', {...describe(request, end), millis});
+      log.logRequestEvent('client-left', {...describe(request, end), millis});
     },
     shed: (exchange, request) => {
       const returnAfter = returnMillis(request.route);
@@ -263,7 +270,7 @@
       const {service, reason} = request.cause;
       metrics.recordShed(service);
       record(request, STATUS_UNAVAILABLE);
-      log.request('shed', {
+      log.logRequestEvent('shed', {
         requestId: request.attemptId,
         route: request.route.name,
         shedBy: service,
@@ -275,35 +282,35 @@
       });
     },
     refuseOverQuota: (exchange, {attemptId, route, decision}) => {
-      const {known, coordinator} = decision;
+      const {allowance, coordinator} = decision;
       // Not before the quota has room again, or its client would come in vain.
-      const returnAfter = Math.max(returnMillis(route), known.returnMillis);
+      const returnAfter = Math.max(returnMillis(route), allowance.returnMillis);
       const statusCode = STATUS_TOO_MANY_REQUESTS;
       writeRefusal(exchange, 'over-quota', returnAfter, statusCode);
       metrics.recordOverQuota();
-      metrics.recordAnswer(route.name, statusCode, 0);
-      log.request('over-quota', {
+      metrics.recordResponse(route.name, statusCode, 0);
+      log.logRequestEvent('over-quota', {
         requestId: attemptId,
         route: route.name,
-        organisation: known.organisation,
-        ranPerSecond: known.ranPerSecond,
-        limitPerSecond: known.limitPerSecond,
-        admittedRatios: known.admittedRatios.join(' '),
-        knownAgeMillis: Math.round(known.ageMillis),
+        organisation: allowance.organisation,
+        ranPerSecond: allowance.ranPerSecond,
+        limitPerSecond: allowance.limitPerSecond,
+        admittedRatios: allowance.admittedRatios.join(' '),
+        knownAgeMillis: Math.round(allowance.ageMillis),
         coordinator,
         configurationVersion: options.configurationVersion(),
         retryAfterMillis: Math.round(returnAfter),
       });
     },
-    refuseLate: (exchange, {attemptId, route}) => {
+    refuseDuringStop: (exchange, {attemptId, route}) => {
       // Not the time at which this host serves again: another host may serve it
       // by then, and asked back seconds later most clients are past their
       // objective. In a run of stops in turn under a press 0.92 of all
       // requests were served so, and 0.94 with the time of every refusal.
       const returnAfter = returnMillis(route);
       writeRefusal(exchange, 'stopping', returnAfter);
-      metrics.recordAnswer(route.name, STATUS_UNAVAILABLE, 0);
-      log.request('refused', {
+      metrics.recordResponse(route.name, STATUS_UNAVAILABLE, 0);
+      log.logRequestEvent('refused', {
         requestId: attemptId,
         route: route.name,
         reason: 'stopping',
@@ -313,7 +320,7 @@
     },
     refuse: (exchange, refusal) => {
       writeRefusal(exchange, refusal.reason, returnMillis(undefined));
-      log.request('refused', {reason: refusal.reason});
+      log.logRequestEvent('refused', {reason: refusal.reason});
     },
     reject,
     challenge: (exchange, reason) => {
--- a/src/request/first_dispatch.ts
+++ b/src/request/first_dispatch.ts
@@ -19,7 +19,7 @@
 /** First dispatches of one start of the upstream. */
 export interface FirstDispatches {
   /** Asks whether a request that names an id may go. */
-  enter(upstreamId: string): DispatchTurn;
+  acquireTurn(upstreamId: string): DispatchTurn;
   /** The upstream has said whether it goes by this id. */
   settle(upstreamId: string): void;
   /** Nothing is known of the upstream, which may have started again. */
@@ -60,7 +60,7 @@
   };
 
   return {
-    enter: upstreamId => {
+    acquireTurn: upstreamId => {
       const known = firsts.get(upstreamId);
       if (known !== undefined) {
         return known.isSettled ? 'settled' : known.settled;
--- a/src/request/inbound_exchange.ts
+++ b/src/request/inbound_exchange.ts
@@ -1,16 +1,16 @@
 /**
  * Requests that other nodes send for the upstream of this host.
  */
-import type {ExecutionEnd} from '../connection/execution.js';
-import type {HopArrival} from '../connection/hop_arrival.js';
+import type {ExecutionResult} from '../connection/execution.js';
+import type {IncomingHop} from '../connection/incoming_hop.js';
 import type {CallOrigin} from '../process/repeats/in_flight_parents.js';
 import {NO_CALLS} from '../process/admission/call_trees.js';
 import {LEAST_IMPORTANT} from '../process/admission/importance.js';
 import type {PeerPositions} from '../process/membership/peer_positions.js';
-import type {LoadReport} from '../process/admission/load_board.js';
+import type {LoadReport} from '../process/admission/load_table.js';
 import {createRetryGrant} from '../process/repeats/shared_retry_grant.js';
 import type {
-  HopAnswer,
+  HopResponse,
   LoadFields,
   OriginFields,
 } from '../protocol/hop_messages.js';
@@ -18,7 +18,7 @@
 
 /** Answers requests of other nodes. */
 export interface InboundExchanges {
-  handle(arrival: HopArrival): Promise<void>;
+  handle(arrival: IncomingHop): Promise<void>;
   /** Loads for a node that asks for them. */
   loads(): readonly LoadFields[];
 }
@@ -32,7 +32,7 @@
   /** Loads of others that senders should know. */
   readonly otherLoads: () => readonly LoadReport[];
   readonly nowMillis: () => number;
-  readonly onEnd: (call: LocalCall, end: ExecutionEnd) => void;
+  readonly onEnd: (call: LocalCall, end: ExecutionResult) => void;
 }
 
 /** Creates the receiving side of one node. */
@@ -42,7 +42,7 @@
   return {
     loads: () => loadsFor(options, true),
     handle: async arrival => {
-      options.peerPositions.noteTold(arrival.request.knownPosition);
+      options.peerPositions.recordPeerPosition(arrival.request.knownPosition);
       const call = callOf(options, arrival);
       const end = await options.execution.execute(call);
       options.onEnd(call, end);
@@ -51,8 +51,8 @@
         answer: {
           ...outcomeOf(end),
           unspentCount,
-          loads: loadsFor(options, arrival.isReportDue()),
-          knownPosition: options.peerPositions.known,
+          loads: loadsFor(options, arrival.isLoadReportDue()),
+          knownPosition: options.peerPositions.applied,
         },
         received: end.kind === 'answered' ? end.answer : undefined,
       });
@@ -60,7 +60,7 @@
   };
 }
 
-function callOf(options: InboundOptions, arrival: HopArrival): LocalCall {
+function callOf(options: InboundOptions, arrival: IncomingHop): LocalCall {
   const {request} = arrival;
   const now = options.nowMillis();
   return {
@@ -109,11 +109,11 @@
 }
 
 type OutcomeFields = Pick<
-  HopAnswer,
+  HopResponse,
   'outcome' | 'reason' | 'hasFailedCall' | 'calls' | 'crashesCount'
 >;
 
-function outcomeOf(end: ExecutionEnd): OutcomeFields {
+function outcomeOf(end: ExecutionResult): OutcomeFields {
   switch (end.kind) {
     case 'answered':
       return {
--- a/src/request/local_execution.ts
+++ b/src/request/local_execution.ts
@@ -3,14 +3,14 @@
  * request over, and returns what came of it.
  */
 import {createCancelSource} from '../base/cancel_signal.js';
-import type {ExecutionCall, ExecutionEnd} from '../connection/execution.js';
+import type {ExecutionCall, ExecutionResult} from '../connection/execution.js';
 import type {
-  UpstreamEnd,
+  UpstreamResult,
   UpstreamRequest,
   UpstreamSender,
 } from '../connection/upstream_sender.js';
 import type {CallTrees} from '../process/admission/call_trees.js';
-import {attemptCounts, NO_CALLS} from '../process/admission/call_trees.js';
+import {attemptCallCounts, NO_CALLS} from '../process/admission/call_trees.js';
 import type {AdmissionLevel} from '../process/admission/admission_level.js';
 import type {
   InFlightParent,
@@ -38,7 +38,7 @@
 
 /** Executes requests. */
 export interface LocalExecution {
-  execute(call: LocalCall): Promise<ExecutionEnd>;
+  execute(call: LocalCall): Promise<ExecutionResult>;
 }
 
 /** What execution needs. */
@@ -73,7 +73,7 @@
 async function execute(
   options: LocalExecutionOptions,
   call: LocalCall,
-): Promise<ExecutionEnd> {
+): Promise<ExecutionResult> {
   const {upstream, queue, level, nowMillis} = options;
   const refusal = upstream.refusalFor(call.upstreamId);
   if (refusal !== undefined) return refused(refusal);
@@ -111,14 +111,14 @@
 
 /** How the upstream ended a request, and whether it crashed under it. */
 interface ObservedEnd {
-  readonly end: UpstreamEnd;
+  readonly end: UpstreamResult;
   readonly hasCrashed: boolean;
 }
 
 async function observeCrash(
   {crashes, quarantine}: LocalExecutionOptions,
   request: DispatchedRequest,
-  run: () => Promise<UpstreamEnd>,
+  run: () => Promise<UpstreamResult>,
 ): Promise<ObservedEnd> {
   crashes.begin(request);
   const end = await run();
@@ -132,7 +132,7 @@
   {quarantine}: LocalExecutionOptions,
   request: DispatchedRequest,
   {hasFailedCall}: InFlightParent,
-): ExecutionEnd {
+): ExecutionResult {
   const crashesCount = quarantine.crashesCount(request);
   return {
     kind: 'unknown',
@@ -218,8 +218,8 @@
 function refuseUnused(
   {queue}: LocalExecutionOptions,
   reason: HopReason,
-): ExecutionEnd {
-  queue.releaseUnused();
+): ExecutionResult {
+  queue.releaseWithoutSample();
   return refused(reason);
 }
 
@@ -233,9 +233,9 @@
   options: LocalExecutionOptions,
   call: LocalCall,
   body: Buffer,
-): Promise<UpstreamEnd> {
+): Promise<UpstreamResult> {
   const {upstream} = options;
-  const turn = upstream.turnOf(call.upstreamId);
+  const turn = upstream.acquireDispatchTurn(call.upstreamId);
   if (turn instanceof Promise) await turn;
   const askedId = upstream.currentIdOf(call.upstreamId);
   const end = await dispatch(options, {...call, upstreamId: askedId}, body);
@@ -260,10 +260,10 @@
   isFirst: boolean,
 ): boolean {
   const isRoot = attemptId === origin.rootId;
-  const tree = isRoot ? trees.countsOf(origin.rootRouteName) : NO_CALLS;
-  const counts = attemptCounts(tree, ownService());
+  const tree = isRoot ? trees.callCountsOf(origin.rootRouteName) : NO_CALLS;
+  const counts = attemptCallCounts(tree, ownService());
   if (!isFirst) return budget.tryTake(counts);
-  budget.take(counts);
+  budget.takeUnchecked(counts);
   return true;
 }
 
@@ -272,7 +272,7 @@
   options: LocalExecutionOptions,
   call: LocalCall,
   body: Buffer,
-): Promise<UpstreamEnd> {
+): Promise<UpstreamResult> {
   const source = createCancelSource();
   const left = call.cancel.onCancel(source.cancel);
   const abandoned = options.upstream.onLost(source.cancel);
@@ -303,12 +303,12 @@
 function settle(
   options: LocalExecutionOptions,
   call: LocalCall,
-  end: UpstreamEnd,
+  end: UpstreamResult,
   heldMillis: number,
 ): void {
   const {queue, upstream, slowness} = options;
   if (end.kind === 'answered') queue.release(heldMillis);
-  else queue.releaseUnused();
+  else queue.releaseWithoutSample();
   if (end.kind === 'answered') {
     upstream.markAnswered(call.upstreamId);
     const {usualMillis} = call;
@@ -319,7 +319,10 @@
   else if (end.reason === 'not-executed') options.rejections.recordRejected();
 }
 
-function executionEnd(end: UpstreamEnd, parent: InFlightParent): ExecutionEnd {
+function executionEnd(
+  end: UpstreamResult,
+  parent: InFlightParent,
+): ExecutionResult {
   switch (end.kind) {
     case 'answered':
       return {
@@ -339,6 +342,6 @@
   }
 }
 
-function refused(reason: HopReason): ExecutionEnd {
+function refused(reason: HopReason): ExecutionResult {
   return {kind: 'refused', reason};
 }
--- a/src/request/local_upstream.ts
+++ b/src/request/local_upstream.ts
@@ -23,7 +23,7 @@
   /** The upstream has answered a request that named this id. */
   markAnswered(upstreamId: string): void;
   /** Asks whether a request that names this id may be dispatched now. */
-  turnOf(upstreamId: string): DispatchTurn;
+  acquireDispatchTurn(upstreamId: string): DispatchTurn;
   markReached(): void;
   /** False while it cannot be reached. */
   readonly isReachable: boolean;
@@ -160,7 +160,7 @@
         untilMillis: nowMillis() + MISDIRECTED_MILLIS,
       });
     },
-    turnOf: firstDispatches.enter,
+    acquireDispatchTurn: firstDispatches.acquireTurn,
     currentIdOf: upstreamId => denied(upstreamId)?.currentId ?? upstreamId,
     markReached,
     get isReachable() {
--- a/src/request/answered_request.ts
+++ b/src/request/open_request.ts
@@ -1,15 +1,15 @@
 /**
  * Requests as far as their answers at the entry are concerned.
  */
-import type {Exchange} from '../connection/node_listener.js';
-import type {ShedCause} from '../process/admission/entry_gate.js';
-import type {QuotaDecision} from '../process/quota/quota_exchange.js';
+import type {HttpExchange} from '../connection/http_listener.js';
+import type {ShedCause} from '../process/admission/entry_admission.js';
+import type {QuotaDecision} from '../process/quota/quota_enforcer.js';
 import type {CallOrigin} from '../process/repeats/in_flight_parents.js';
 import type {ServiceRoute} from '../version/route_configuration.js';
 
 /** A request as far as its answer is concerned. */
-export interface AnsweredRequest {
-  readonly exchange: Exchange;
+export interface OpenRequest {
+  readonly exchange: HttpExchange;
   readonly attemptId: string;
   readonly route: ServiceRoute;
   readonly service: string;
@@ -35,7 +35,7 @@
 }
 
 /** A request that comes to a node that stops. */
-export interface LateRequest {
+export interface RequestDuringStop {
   readonly attemptId: string;
   readonly route: ServiceRoute;
 }
--- a/src/request/open_requests.ts
+++ b/src/request/open_requests.ts
@@ -5,18 +5,18 @@
  */
 import type {CancelSource} from '../base/cancel_signal.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
-import type {AnsweredRequest} from './answered_request.js';
+import type {OpenRequest} from './open_request.js';
 
 /** Requests of one node that have no answer yet. */
 export interface OpenRequests {
   readonly count: number;
   /** Work on it ends as soon as the source is cancelled. */
-  add(request: AnsweredRequest, source: CancelSource): void;
-  delete(request: AnsweredRequest): void;
+  add(request: OpenRequest, source: CancelSource): void;
+  delete(request: OpenRequest): void;
   /** Writes a line for each, bounded like all lines for requests. */
-  describe(event: string): void;
+  logAll(event: string): void;
   /** Gives all of them up, and what is added later; each is answered at once. */
-  giveUp(): void;
+  cancelAll(): void;
 }
 
 /** Creates an empty registry. */
@@ -24,7 +24,7 @@
   log: DecisionLog,
   nowMillis: () => number,
 ): OpenRequests {
-  const open = new Map<AnsweredRequest, CancelSource>();
+  const open = new Map<OpenRequest, CancelSource>();
   let isGivenUp = false;
   return {
     get count() {
@@ -37,10 +37,10 @@
     delete: request => {
       open.delete(request);
     },
-    describe: event => {
+    logAll: event => {
       const now = nowMillis();
       for (const {attemptId, route, service, ...request} of open.keys()) {
-        log.request(event, {
+        log.logRequestEvent(event, {
           requestId: attemptId,
           route: route.name,
           service,
@@ -50,7 +50,7 @@
         });
       }
     },
-    giveUp: () => {
+    cancelAll: () => {
       isGivenUp = true;
       for (const source of [...open.values()]) source.cancel();
     },
--- a/src/request/outbound_exchange.ts
+++ b/src/request/outbound_exchange.ts
@@ -5,31 +5,31 @@
 import type {CancelSource} from '../base/cancel_signal.js';
 import {createCancelSource} from '../base/cancel_signal.js';
 import type {ExecutionCall} from '../connection/execution.js';
-import type {Exchange} from '../connection/node_listener.js';
-import {passedOnHeaders} from '../connection/raw_headers.js';
+import type {HttpExchange} from '../connection/http_listener.js';
+import {forwardedHeaders} from '../connection/raw_headers.js';
 import {readRequestBody} from '../connection/request_body.js';
 import type {CallTrees} from '../process/admission/call_trees.js';
-import {callsBelow} from '../process/admission/call_trees.js';
+import {downstreamCallCounts} from '../process/admission/call_trees.js';
 import type {ConfigurationHolder} from '../process/membership/configuration_holder.js';
-import type {EntryGate} from '../process/admission/entry_gate.js';
+import type {EntryAdmission} from '../process/admission/entry_admission.js';
 import type {
   InFlightParent,
   InFlightParents,
 } from '../process/repeats/in_flight_parents.js';
-import type {LoadQuestions} from '../process/admission/load_questions.js';
+import type {LoadPoller} from '../process/admission/load_poller.js';
 import type {RepeatBudget} from '../process/repeats/repeat_budget.js';
 import type {
   QuotaDecision,
-  QuotaExchange,
-} from '../process/quota/quota_exchange.js';
+  QuotaEnforcer,
+} from '../process/quota/quota_enforcer.js';
 import type {StopPlan} from '../process/stop/stop_plan.js';
 import type {WeightedTargets} from '../process/placement/weighted_targets.js';
 import type {WireHeaders} from '../protocol/wire_headers.js';
 import type {RouteTable} from '../version/route_table.js';
-import type {AttemptsEnd, Attempts} from './attempts.js';
-import type {EntryAnswers} from './entry_answers.js';
+import type {AttemptsResult, AttemptRunner} from './attempt_runner.js';
+import type {EntryResponder} from './entry_responder.js';
 import type {EnteredRequest} from './entered_request.js';
-import {enterRequest} from './entered_request.js';
+import {createEnteredRequest} from './entered_request.js';
 import type {OpenRequests} from './open_requests.js';
 import {CREDENTIALS_HEADER} from './credentials.js';
 import type {RoutedRequest} from './entered_request.js';
@@ -38,26 +38,26 @@
 /** Answers requests that enter here. */
 export interface OutboundExchanges {
   /** Requests of clients, and of the upstream where it has no other way in. */
-  handle(exchange: Exchange): Promise<void>;
+  handle(exchange: HttpExchange): Promise<void>;
   /** Requests that only the upstream of this host can have sent. */
-  handleLocal(exchange: Exchange): Promise<void>;
+  handleLocal(exchange: HttpExchange): Promise<void>;
 }
 
 /** What it needs. */
 export interface OutboundOptions {
-  readonly names: WireHeaders;
+  readonly wireHeaders: WireHeaders;
   readonly ownService: () => string;
   readonly configuration: ConfigurationHolder;
-  readonly gate: EntryGate;
-  readonly questions: LoadQuestions;
+  readonly entryAdmission: EntryAdmission;
+  readonly loadPoller: LoadPoller;
   readonly targets: WeightedTargets;
   readonly trees: CallTrees;
   readonly budget: RepeatBudget;
-  readonly quotas: QuotaExchange;
+  readonly quotas: QuotaEnforcer;
   readonly parents: InFlightParents;
   readonly stop: StopPlan;
-  readonly attempts: Attempts;
-  readonly answers: EntryAnswers;
+  readonly attempts: AttemptRunner;
+  readonly responder: EntryResponder;
   readonly open: OpenRequests;
   readonly nowMillis: () => number;
 }
@@ -73,16 +73,20 @@
 export function createOutboundExchanges(
   options: OutboundOptions,
 ): OutboundExchanges {
-  const {names} = options;
+  const {wireHeaders} = options;
   const ownHeaders: ReadonlySet<string> = new Set([
-    names.timeoutMillis,
-    names.expectedUpstreamId,
-    names.callerService,
-    ...(names.isAttemptIdRequired ? [] : [names.attemptId]),
+    wireHeaders.timeoutMillis,
+    wireHeaders.expectedUpstreamId,
+    wireHeaders.callerService,
+    ...(wireHeaders.isAttemptIdRequired ? [] : [wireHeaders.attemptId]),
   ]);
   const dropped = {
     ownHeaders,
-    withKeys: new Set([...ownHeaders, CREDENTIALS_HEADER, names.organisation]),
+    withKeys: new Set([
+      ...ownHeaders,
+      CREDENTIALS_HEADER,
+      wireHeaders.organisation,
+    ]),
   };
   return {
     handle: exchange => handle(options, exchange, {dropped, isLocal: false}),
@@ -107,51 +111,57 @@
 
 async function handle(
   options: OutboundOptions,
-  exchange: Exchange,
+  exchange: HttpExchange,
   {dropped, isLocal}: EntryWay,
 ): Promise<void> {
-  const {answers} = options;
+  const {responder} = options;
   const routed = routeRequest(options, exchange, isLocal);
   if (routed === undefined || isRefusedLate(options, exchange, routed)) return;
   const isWithin = isWithinQuota(options, exchange, routed);
   if (!(isWithin instanceof Promise ? await isWithin : isWithin)) return;
-  const entered = enterRequest(options, exchange, routed);
+  const entered = createEnteredRequest(options, exchange, routed);
   if (!passesGate(options, entered)) return;
-  if (exchange.isBodyHeldBack) exchange.response.writeContinue();
+  if (exchange.expectsContinue) exchange.response.writeContinue();
   const bodyBytes = routed.table.limits.bodyBytes;
   const body = await readRequestBody(exchange.request, bodyBytes);
   if (body.kind === 'too-large') {
-    answers.reject(exchange, 413, 'body-too-large');
+    responder.reject(exchange, 413, 'body-too-large');
     return;
   }
   if (body.kind === 'broken') return;
   // Its body may have come so late that the answer would not come any more.
   if (isRefusedLate(options, exchange, routed)) return;
-  const headers = headersFor(options.names, entered, routed.table, dropped);
+  const headers = headersFor(
+    options.wireHeaders,
+    entered,
+    routed.table,
+    dropped,
+  );
   await serve(options, entered, headers, body.bytes);
 }
 
 /** Refuses a request that comes to a node which stops and takes nothing more. */
 function isRefusedLate(
-  {stop, answers}: OutboundOptions,
-  exchange: Exchange,
+  {stop, responder}: OutboundOptions,
+  exchange: HttpExchange,
   {attemptId, route, isLocal, parent}: RoutedRequest,
 ): boolean {
-  if (stop.takes({isUpstreams: isLocal || parent !== undefined})) return false;
-  answers.refuseLate(exchange, {attemptId, route});
+  if (stop.accepts({isFromUpstream: isLocal || parent !== undefined}))
+    return false;
+  responder.refuseDuringStop(exchange, {attemptId, route});
   return true;
 }
 
 /** Refuses a request whose organisation is over its quota. */
 function isWithinQuota(
-  {quotas, answers}: OutboundOptions,
-  exchange: Exchange,
+  {quotas, responder}: OutboundOptions,
+  exchange: HttpExchange,
   {attemptId, route, organisation}: RoutedRequest,
 ): boolean | Promise<boolean> {
   if (organisation === undefined) return true;
   const settle = (decision: QuotaDecision): boolean => {
     if (decision.kind === 'admitted') return true;
-    answers.refuseOverQuota(exchange, {attemptId, route, decision});
+    responder.refuseOverQuota(exchange, {attemptId, route, decision});
     return false;
   };
   const decided = quotas.decide(organisation, route.rank);
@@ -167,9 +177,9 @@
 ): readonly string[] {
   const {rawHeaders} = exchange.request;
   if (organisations === undefined) {
-    return passedOnHeaders(rawHeaders, dropped.ownHeaders);
+    return forwardedHeaders(rawHeaders, dropped.ownHeaders);
   }
-  const headers = passedOnHeaders(rawHeaders, dropped.withKeys);
+  const headers = forwardedHeaders(rawHeaders, dropped.withKeys);
   const {organisationName} = origin;
   if (organisationName === undefined) return headers;
   return [...headers, names.organisation, organisationName];
@@ -183,18 +193,18 @@
   const {route, service, origin} = entered;
   options.budget.recordRequest(new Map([[service, 1]]));
   if (entered.parent !== undefined) return true;
-  const tree = options.trees.countsOf(route.name);
+  const tree = options.trees.callCountsOf(route.name);
   const gated = {
     importance: origin.importance,
     attemptId: entered.attemptId,
   };
-  const cause = options.gate.shedCause(gated, service, tree);
+  const cause = options.entryAdmission.shedCause(gated, service, tree);
   if (cause === undefined) {
-    options.budget.recordExpected(callsBelow(tree, service));
+    options.budget.recordExpectedCalls(downstreamCallCounts(tree, service));
     return true;
   }
-  if (cause.reason === 'overload') options.questions.noteShed(cause.service);
-  options.answers.shed(entered.exchange, {
+  if (cause.reason === 'overload') options.loadPoller.recordShed(cause.service);
+  options.responder.shed(entered.exchange, {
     attemptId: entered.attemptId,
     route,
     cause,
@@ -223,14 +233,14 @@
   options.open.delete(entered);
   learn(options, entered, end);
   if (organisation !== undefined && !end.mayHaveRun) {
-    options.quotas.takeBack(organisation);
+    options.quotas.recordNotRun(organisation);
   }
   if (parent !== undefined) reportToParent(parent, service, end);
   if (exchange.cancel.isCancelled) {
-    options.answers.noteLeft(entered, end);
+    options.responder.recordClientLeft(entered, end);
     return;
   }
-  options.answers.finish(entered, end);
+  options.responder.sendResult(entered, end);
 }
 
 function startDeadline(
@@ -278,27 +288,27 @@
 function learn(
   options: OutboundOptions,
   entered: EnteredRequest,
-  end: AttemptsEnd,
+  end: AttemptsResult,
 ): void {
-  const {last} = end;
-  if (last.kind !== 'answered') return;
-  const counts = new Map(last.calls);
+  const {lastResult} = end;
+  if (lastResult.kind !== 'answered') return;
+  const counts = new Map(lastResult.calls);
   counts.set(entered.service, (counts.get(entered.service) ?? 0) + 1);
   const {name} = entered.route;
-  if (last.answer.statusCode < 300) options.trees.observe(name, counts);
-  else if (last.hasFailedCall) options.trees.observeFailed(name, counts);
+  if (lastResult.answer.statusCode < 300) options.trees.observe(name, counts);
+  else if (lastResult.hasFailedCall) options.trees.observeFailed(name, counts);
 }
 
 function reportToParent(
   parent: InFlightParent,
   service: string,
-  end: AttemptsEnd,
+  end: AttemptsResult,
 ): void {
-  const {last} = end;
+  const {lastResult} = end;
   parent.addCalls(new Map([[service, 1]]));
-  if (last.kind === 'answered') {
-    parent.addCalls(last.calls);
-    if (last.answer.statusCode >= 500) parent.markFailedCall();
+  if (lastResult.kind === 'answered') {
+    parent.addCalls(lastResult.calls);
+    if (lastResult.answer.statusCode >= 500) parent.markFailedCall();
   } else {
     parent.markFailedCall();
   }
--- a/src/request/repeat_rules.ts
+++ b/src/request/repeat_rules.ts
@@ -2,11 +2,11 @@
  * When a request may be sent to another upstream: it is proven not to have run,
  * or may run more than once, and the bounds on repeats leave room.
  */
-import type {ExecutionEnd} from '../connection/execution.js';
+import type {ExecutionResult} from '../connection/execution.js';
 import {LEAST_IMPORTANT} from '../process/admission/importance.js';
 import type {CallCounts, CallTrees} from '../process/admission/call_trees.js';
-import {attemptCounts} from '../process/admission/call_trees.js';
-import type {LoadBoard} from '../process/admission/load_board.js';
+import {attemptCallCounts} from '../process/admission/call_trees.js';
+import type {LoadTable} from '../process/admission/load_table.js';
 import type {RepeatBudget} from '../process/repeats/repeat_budget.js';
 import type {AttemptedRequest} from './attempted_request.js';
 import {ISOLATED_CRASHES_COUNT} from './crash_quarantine.js';
@@ -17,23 +17,23 @@
    * Whether to go on after an attempt, with so many upstreams that may have
    * worked on it; takes the repeat from the bounds.
    */
-  mayTryAgain(
+  mayRetry(
     request: AttemptedRequest,
-    end: ExecutionEnd,
+    end: ExecutionResult,
     ranCount: number,
   ): boolean;
   /**
    * Whether an attempt that has no answer yet may be given up for another one;
    * takes the repeat from the bounds.
    */
-  mayGiveUp(request: AttemptedRequest, ranCount: number): boolean;
+  mayAbandonAttempt(request: AttemptedRequest, ranCount: number): boolean;
 }
 
 /** What the rules need. */
 export interface RepeatRulesOptions {
   readonly budget: RepeatBudget;
   readonly trees: CallTrees;
-  readonly board: LoadBoard;
+  readonly loadTable: LoadTable;
   readonly nowMillis: () => number;
 }
 
@@ -42,13 +42,13 @@
 
 /** Creates the rules of one node. */
 export function createRepeatRules(options: RepeatRulesOptions): RepeatRules {
-  const {budget, trees, board, nowMillis} = options;
+  const {budget, trees, loadTable, nowMillis} = options;
 
   const leftMillis = ({call}: AttemptedRequest): number =>
     call.deadlineMillis - nowMillis();
 
   const expectedCalls = ({route, service}: AttemptedRequest): CallCounts =>
-    attemptCounts(trees.countsOf(route.name), service);
+    attemptCallCounts(trees.callCountsOf(route.name), service);
 
   /** A repeat below a repeat multiplies; the one nearest the client decides. */
   const take = (
@@ -63,7 +63,7 @@
 
   const isSaturated = (counts: CallCounts): boolean => {
     for (const service of counts.keys()) {
-      if (board.levelOf(service) < LEAST_IMPORTANT) return true;
+      if (loadTable.levelOf(service) < LEAST_IMPORTANT) return true;
     }
     return false;
   };
@@ -73,7 +73,10 @@
    * repeat costs no grant, and all that the bound leaves is there for it. Not
    * more: a node that is only too busy to reply has received it.
    */
-  const mayRepeat = (request: AttemptedRequest, end: ExecutionEnd): boolean => {
+  const mayRepeat = (
+    request: AttemptedRequest,
+    end: ExecutionResult,
+  ): boolean => {
     const counts = expectedCalls(request);
     if (end.kind === 'unknown' && end.reason === 'silent') {
       return budget.tryTakeReserved(counts);
@@ -93,7 +96,7 @@
     budget.tryTake(expectedCalls(request));
 
   return {
-    mayTryAgain: (request, end, ranCount) => {
+    mayRetry: (request, end, ranCount) => {
       const {call, route} = request;
       if (call.cancel.isCancelled) return false;
       if (leftMillis(request) < MIN_LEFT_MILLIS) return false;
@@ -107,7 +110,7 @@
       if (ranCount >= route.maxAttemptsCount) return false;
       return mayRepeat(request, end);
     },
-    mayGiveUp: (request, ranCount) => {
+    mayAbandonAttempt: (request, ranCount) => {
       const {call, route} = request;
       if (!call.isRepeatable || ranCount + 1 >= route.maxAttemptsCount) {
         return false;
@@ -120,20 +123,20 @@
 }
 
 /** The upstream received the request, whether it ran it or not. */
-export function wasDispatched(end: ExecutionEnd): boolean {
+export function wasDispatched(end: ExecutionResult): boolean {
   if (end.kind !== 'refused') return true;
   return end.reason === 'not-executed' || end.reason === 'misdirected';
 }
 
 /** Each retry of what may have caused several crashes costs another upstream. */
-function mayCrashAgain(end: ExecutionEnd): boolean {
+function mayCrashAgain(end: ExecutionResult): boolean {
   if (end.kind !== 'unknown') return false;
   return (end.crashesCount ?? 0) >= ISOLATED_CRASHES_COUNT;
 }
 
 /** Only a failure of the upstream itself: one below it would fail again. */
 function isWorthRepeating(
-  end: Exclude<ExecutionEnd, {readonly kind: 'refused'}>,
+  end: Exclude<ExecutionResult, {readonly kind: 'refused'}>,
   request: AttemptedRequest,
 ): boolean {
   if (!request.call.isRepeatable) return false;
--- a/src/request/request_routing.ts
+++ b/src/request/request_routing.ts
@@ -2,12 +2,12 @@
  * Finds the route of a request that enters here, the request that it is a call of, and
  * the organisation that it is sent for.
  */
-import type {Exchange} from '../connection/node_listener.js';
+import type {HttpExchange} from '../connection/http_listener.js';
 import type {ConfigurationHolder} from '../process/membership/configuration_holder.js';
 import type {InFlightParents} from '../process/repeats/in_flight_parents.js';
 import type {WireHeaders} from '../protocol/wire_headers.js';
 import type {RouteTable} from '../version/route_table.js';
-import type {EntryAnswers} from './entry_answers.js';
+import type {EntryResponder} from './entry_responder.js';
 import type {RoutedRequest} from './entered_request.js';
 import {readAttemptId} from './entered_request.js';
 import type {SenderIdentity} from './sender_identity.js';
@@ -15,10 +15,10 @@
 
 /** What routing needs. */
 export interface RequestRoutingOptions {
-  readonly names: WireHeaders;
+  readonly wireHeaders: WireHeaders;
   readonly configuration: ConfigurationHolder;
   readonly parents: InFlightParents;
-  readonly answers: Pick<EntryAnswers, 'refuse' | 'reject' | 'challenge'>;
+  readonly responder: Pick<EntryResponder, 'refuse' | 'reject' | 'challenge'>;
 }
 
 const NO_ORGANISATION: SenderIdentity = {
@@ -28,13 +28,13 @@
 
 /** Routes a request; answers one that cannot be routed and returns `undefined`. */
 export function routeRequest(
-  {answers, configuration, names, parents}: RequestRoutingOptions,
-  exchange: Exchange,
+  {responder, configuration, wireHeaders, parents}: RequestRoutingOptions,
+  exchange: HttpExchange,
   isLocal: boolean,
 ): RoutedRequest | undefined {
   const table = configuration.current();
   if (table === undefined) {
-    answers.refuse(exchange, {reason: 'no-configuration'});
+    responder.refuse(exchange, {reason: 'no-configuration'});
     return undefined;
   }
   const {request} = exchange;
@@ -44,18 +44,18 @@
     target: request.url ?? '/',
   });
   if (route === undefined) {
-    answers.reject(exchange, 404, 'no-route');
+    responder.reject(exchange, 404, 'no-route');
     return undefined;
   }
-  const attemptId = readAttemptId(names, exchange);
+  const attemptId = readAttemptId(wireHeaders, exchange);
   if (attemptId === undefined) {
-    answers.reject(exchange, 400, 'no-attempt-id');
+    responder.reject(exchange, 400, 'no-attempt-id');
     return undefined;
   }
   const parent = parents.find(attemptId);
   const identity = identify(exchange, table, {route, isLocal, parent});
   if (identity.kind === 'refused') {
-    answers.challenge(exchange, identity.reason);
+    responder.challenge(exchange, identity.reason);
     return undefined;
   }
   const {organisation} = identity;
@@ -64,7 +64,7 @@
 
 /** Calls of the upstream carry no API key. */
 function identify(
-  {request}: Exchange,
+  {request}: HttpExchange,
   {organisations}: RouteTable,
   {route, isLocal, parent}: Pick<RoutedRequest, 'route' | 'isLocal' | 'parent'>,
 ): SenderIdentity {
--- a/src/request/sender_identity.ts
+++ b/src/request/sender_identity.ts
@@ -9,7 +9,7 @@
 import {readCredentials} from './credentials.js';
 
 /** A request as far as its sender is concerned. */
-export interface IdentifiedRequest {
+export interface SenderRequest {
   readonly headers: RawHeaders;
   /** Its route needs no API key. */
   readonly isPublic: boolean;
@@ -31,7 +31,7 @@
 /** Identifies a client by one version of the configuration. */
 export function identifySender(
   organisations: OrganisationDirectory,
-  {headers, isPublic}: IdentifiedRequest,
+  {headers, isPublic}: SenderRequest,
 ): SenderIdentity {
   const credentials = readCredentials(headers);
   const organisation =
--- a/src/version/compiled_policy.ts
+++ b/src/version/compiled_policy.ts
@@ -1,7 +1,7 @@
 /**
  * Preparation of a published policy document for look-ups on the data path.
  */
-import {createDocumentDecoder, digestOf} from './json_document.js';
+import {createDocumentDecoder, documentDigest} from './json_document.js';
 import type {CompiledPolicy, Policy, RouteMatch, Service} from './policy.js';
 import {findPolicyProblems} from './policy_checks.js';
 import {policySchema} from './policy_schema.js';
@@ -10,7 +10,7 @@
 import {createRouteMatcher} from './route_matcher.js';
 
 /** A policy ready for use, or everything that is wrong with the document. */
-export type PolicyCompilation =
+export type PolicyCompileResult =
   | {readonly kind: 'compiled'; readonly compiled: CompiledPolicy}
   | {readonly kind: 'invalid'; readonly problems: readonly Problem[]};
 
@@ -22,7 +22,7 @@
 const decodePolicy = createDocumentDecoder(policySchema);
 
 /** Checks a document as published and compiles it if it is valid. */
-export function compilePolicy(documentBytes: Uint8Array): PolicyCompilation {
+export function compilePolicy(documentBytes: Uint8Array): PolicyCompileResult {
   const decoded = decodePolicy(documentBytes);
   if (decoded.kind === 'invalid') return decoded;
   const problems = findPolicyProblems(decoded.value);
@@ -49,7 +49,7 @@
   return {
     policy,
     version: policy.version,
-    digest: digestOf(documentBytes),
+    digest: documentDigest(documentBytes),
     documentBytes,
     findService: serviceName => services.get(serviceName)?.service,
     findRoute: (serviceName, method, path) =>
--- a/src/version/host_list.ts
+++ b/src/version/host_list.ts
@@ -3,7 +3,7 @@
  */
 
 /** Whether the platform regards a host as in service. */
-export type PublishedState = 'live' | 'leaving';
+export type PublishedHostState = 'live' | 'leaving';
 
 /** One upstream host and the addresses of its node. */
 export interface PublishedHost {
@@ -15,7 +15,7 @@
   readonly address: string;
   /** Port of the node for calls from other nodes. */
   readonly peerPort: number;
-  readonly state: PublishedState;
+  readonly state: PublishedHostState;
 }
 
 /** The list as published, with an increasing revision. */
--- a/src/version/host_list_schema.ts
+++ b/src/version/host_list_schema.ts
@@ -5,13 +5,13 @@
 import * as Schema from 'effect/Schema';
 import type {HostList, PublishedHost} from './host_list.js';
 import {createDocumentDecoder} from './json_document.js';
-import {findDuplicateNames} from './name_checks.js';
+import {findDuplicateNames} from './duplicate_checks.js';
 import type {Problem} from './problem.js';
 import {
   listField,
   nameField,
-  wholeNumberField,
-  wordField,
+  integerField,
+  enumField,
 } from './schema_fields.js';
 
 const MAX_HOSTS = 4_096;
@@ -28,11 +28,11 @@
   description: 'an IP address, version 4 or 6, without a zone index',
 }).check(Schema.makeFilter(isPlainIpAddress));
 
-const portField = wholeNumberField({minimum: 1, maximum: MAX_PORT});
+const portField = integerField({minimum: 1, maximum: MAX_PORT});
 
 /** Shape of the host list. */
 export const hostListSchema: Schema.Codec<HostList> = Schema.Struct({
-  revision: wholeNumberField({minimum: 1, maximum: Number.MAX_SAFE_INTEGER}),
+  revision: integerField({minimum: 1, maximum: Number.MAX_SAFE_INTEGER}),
   hosts: listField(
     Schema.Struct({
       name: hostNameField,
@@ -41,7 +41,7 @@
       region: nameField,
       address: addressField,
       peerPort: portField,
-      state: wordField(['live', 'leaving']),
+      state: enumField(['live', 'leaving']),
     }),
     {minimum: 0, maximum: MAX_HOSTS},
     'hosts',
@@ -54,14 +54,14 @@
 }
 
 /** A usable host list, or everything that is wrong with it. */
-export type HostListParse =
+export type HostListParseResult =
   | {readonly kind: 'parsed'; readonly list: HostList}
   | {readonly kind: 'invalid'; readonly problems: readonly Problem[]};
 
 const decodeHostList = createDocumentDecoder(hostListSchema);
 
 /** Checks a host list as published. */
-export function parseHostList(documentBytes: Uint8Array): HostListParse {
+export function parseHostList(documentBytes: Uint8Array): HostListParseResult {
   const decoded = decodeHostList(documentBytes);
   if (decoded.kind === 'invalid') return decoded;
   const problems = findHostProblems(decoded.value.hosts);
--- a/src/version/json_document.ts
+++ b/src/version/json_document.ts
@@ -28,7 +28,7 @@
   | {readonly kind: 'unreadable'; readonly problem: Problem};
 
 /** SHA-256 of a document as published, lower-case hex. */
-export function digestOf(documentBytes: Uint8Array): string {
+export function documentDigest(documentBytes: Uint8Array): string {
   return createHash('sha256').update(documentBytes).digest('hex');
 }
 
--- a/src/version/policy.ts
+++ b/src/version/policy.ts
@@ -4,7 +4,7 @@
  */
 
 /** How a route may be repeated after its outcome became unknown. */
-export type RepeatRule =
+export type PolicyRepeatRule =
   /** Read-only: may be repeated even on behalf of a request that may not. */
   | 'safe'
   /** May be repeated unless made on behalf of a request that may not. */
@@ -46,7 +46,7 @@
   /** Path pattern: literal segments, `:name` for one segment, final `*`. */
   readonly path: string;
   readonly className: string;
-  readonly repeat: RepeatRule;
+  readonly repeat: PolicyRepeatRule;
   readonly deadlineMillis: number;
   /** Retries one request entering here may cause over the whole chain. */
   readonly retryBound: number;
--- a/src/version/policy_checks.ts
+++ b/src/version/policy_checks.ts
@@ -1,7 +1,7 @@
 /**
  * Rules of the policy document that involve more than one field.
  */
-import {findDuplicateNames, findRouteOverlaps} from './name_checks.js';
+import {findDuplicateNames, findRouteOverlaps} from './duplicate_checks.js';
 import {findSharedKeys} from './organisation.js';
 import type {Policy, Route, Service} from './policy.js';
 import type {Problem} from './problem.js';
@@ -39,7 +39,7 @@
 }
 
 /** Sum of all reserves, which lower classes leave free together. */
-export function sumOfReserves(policy: Policy): number {
+export function sumReservedRatios(policy: Policy): number {
   return policy.classes.reduce(
     (sum, {reservedRatio}) => sum + reservedRatio,
     0,
@@ -47,7 +47,7 @@
 }
 
 function checkReserves(policy: Policy): readonly Problem[] {
-  const sum = sumOfReserves(policy);
+  const sum = sumReservedRatios(policy);
   if (sum < 1) return [];
   return [
     {
--- a/src/version/policy_schema.ts
+++ b/src/version/policy_schema.ts
@@ -9,8 +9,8 @@
   nameField,
   numberField,
   ratioField,
-  wholeNumberField,
-  wordField,
+  integerField,
+  enumField,
 } from './schema_fields.js';
 
 const MINUTE_MILLIS = 60_000;
@@ -56,13 +56,13 @@
 }).check(Schema.isPattern(/^[0-9a-f]{64}$/));
 
 const millisField = (minimum: number, maximum: number) =>
-  wholeNumberField({minimum, maximum}, 'milliseconds');
+  integerField({minimum, maximum}, 'milliseconds');
 
 const bytesField = (minimum: number, maximum: number) =>
-  wholeNumberField({minimum, maximum}, 'bytes');
+  integerField({minimum, maximum}, 'bytes');
 
 const countField = (minimum: number, maximum: number, unit: string) =>
-  wholeNumberField({minimum, maximum}, unit);
+  integerField({minimum, maximum}, unit);
 
 const zoneSchema = Schema.Struct({name: nameField, region: nameField});
 
@@ -73,10 +73,10 @@
 
 const routeSchema = Schema.Struct({
   name: nameField,
-  method: wordField(METHODS),
+  method: enumField(METHODS),
   path: pathField,
   className: nameField,
-  repeat: wordField(['safe', 'idempotent', 'never']),
+  repeat: enumField(['safe', 'idempotent', 'never']),
   deadlineMillis: millisField(1, 10 * MINUTE_MILLIS),
   retryBound: countField(0, 16, 'retries'),
   isPublic: Schema.Boolean.annotate({description: 'true or false'}).pipe(
@@ -88,7 +88,7 @@
 
 const organisationSchema = Schema.Struct({
   name: nameField,
-  priority: wholeNumberField({minimum: 0, maximum: MAX_PRIORITY}),
+  priority: integerField({minimum: 0, maximum: MAX_PRIORITY}),
   ratePerSecond: numberField(
     {minimum: 0, maximum: MAX_REQUESTS_PER_SECOND},
     'requests per second',
@@ -147,7 +147,7 @@
   formatVersion: Schema.Literal(1).annotate({
     description: 'the number 1, the only format there is',
   }),
-  version: wholeNumberField({minimum: 1, maximum: Number.MAX_SAFE_INTEGER}),
+  version: integerField({minimum: 1, maximum: Number.MAX_SAFE_INTEGER}),
   deployment: nameField,
   availabilityZones: listField(
     zoneSchema,
--- a/src/version/policy_warnings.ts
+++ b/src/version/policy_warnings.ts
@@ -4,7 +4,7 @@
 import {comparePatterns, parsePathPattern} from './path_pattern.js';
 import type {Policy, Route, Service} from './policy.js';
 import type {Problem} from './problem.js';
-import {sumOfReserves} from './policy_checks.js';
+import {sumReservedRatios} from './policy_checks.js';
 
 /** Lists doubtful settings of a document that has no problems. */
 export function findPolicyWarnings(policy: Policy): readonly Problem[] {
@@ -19,7 +19,7 @@
   path: string,
 ): readonly Problem[] {
   const warnings: Problem[] = [];
-  if (service.slotsCount * (1 - sumOfReserves(policy)) < 1) {
+  if (service.slotsCount * (1 - sumReservedRatios(policy)) < 1) {
     warnings.push({
       path: `${path}.slotsCount`,
       value: service.slotsCount,
--- a/src/version/schema_fields.ts
+++ b/src/version/schema_fields.ts
@@ -18,7 +18,7 @@
 }).check(Schema.isPattern(NAME_PATTERN));
 
 /** Whole number within a range; `unit` is what it counts, in the plural. */
-export function wholeNumberField(
+export function integerField(
   range: Range,
   unit?: string,
 ): Schema.Codec<number> {
@@ -41,7 +41,7 @@
 }).check(Schema.isFinite(), Schema.isBetween({minimum: 0, maximum: 1}));
 
 /** One of a few words. */
-export function wordField<const T extends readonly string[]>(
+export function enumField<const T extends readonly string[]>(
   words: T,
 ): Schema.Codec<T[number]> {
   const quoted = words.map(word => JSON.stringify(word)).join(', ');
--- a/test/contract/operator_policy.test.ts
+++ b/test/contract/operator_policy.test.ts
@@ -3,7 +3,7 @@
  * the version in force stays or is replaced by a newer valid one, whole.
  */
 import test from 'ava';
-import {createOwnDocuments} from '../../src/daemon/own_documents.js';
+import {createHttpDocuments} from '../../src/daemon/http_documents.js';
 import {createConfigurationHolder} from '../../src/process/membership/configuration_holder.js';
 import {MAX_DOCUMENT_BYTES} from '../../src/version/json_document.js';
 import {createPolicyBytes, encodeDocument} from '../fakes/policy_documents.js';
@@ -129,7 +129,7 @@
 ];
 
 function createFixture() {
-  const documents = createOwnDocuments('http://127.0.0.1:9');
+  const documents = createHttpDocuments('http://127.0.0.1:9');
   const holder = createConfigurationHolder();
   const offer = (bytes: Uint8Array) => {
     const text = Buffer.from(bytes).toString('utf8');
@@ -139,7 +139,7 @@
       text,
     });
     if (decoded.kind !== 'valid') return decoded;
-    return {kind: holder.offer(decoded.value), reason: ''};
+    return {kind: holder.update(decoded.value), reason: ''};
   };
   offer(createPolicyBytes(HELD_VERSION));
   return {holder, offer};
--- a/test/fakes/fleet_replay.ts
+++ b/test/fakes/fleet_replay.ts
@@ -5,7 +5,7 @@
  */
 import {LEVEL_WINDOW_MILLIS} from '../../src/process/admission/admission_level.js';
 import {importanceOf} from '../../src/process/admission/importance.js';
-import {callsBelow} from '../../src/process/admission/call_trees.js';
+import {downstreamCallCounts} from '../../src/process/admission/call_trees.js';
 import {createAttemptHistory} from '../../src/process/repeats/attempt_history.js';
 import {createSeededRandom} from '../../src/emulator/seeded_random.js';
 import {createEventClock} from './event_clock.js';
@@ -83,7 +83,7 @@
         const {usualMillis} = call;
         if (usualMillis) node.slowness.observe(heldMillis, usualMillis);
       } else {
-        node.queue.releaseUnused();
+        node.queue.releaseWithoutSample();
       }
       run.isServed = end === 'served';
       call.onEnd(end, counts);
@@ -142,7 +142,7 @@
     const start = (): void => {
       if (random.next() < node.rejectRatioNow()) {
         clock.after(REJECT_MILLIS, () => {
-          node.queue.releaseUnused();
+          node.queue.releaseWithoutSample();
           node.rejections.recordRejected();
           onVerdict('rejected');
         });
@@ -189,8 +189,9 @@
           objectiveMillis,
           usualMillis,
         });
-      const placement = history.mayOffer
-        ? (choose() ?? (history.readmitRejecting() ? choose() : undefined))
+      const placement = history.canOffer
+        ? (choose() ??
+          (history.readmitRejectingUpstreams() ? choose() : undefined))
         : undefined;
       if (placement === undefined || nowMillis() >= call.deadlineMillis) {
         call.onEnd('refused', new Map());
@@ -203,7 +204,8 @@
       const delayMillis = isNear ? 0 : HOP_MILLIS;
       const learn = (): void => {
         if (isNear) return;
-        for (const load of node.loadsFor(from.own.id)) from.board.observe(load);
+        for (const load of node.loadsFor(from.own.id))
+          from.loadTable.observe(load);
       };
       const goOn = (verdict: Verdict): void => {
         learn();
@@ -228,7 +230,7 @@
               clock.after(delayMillis, () => {
                 learn();
                 if (end === 'served') {
-                  from.patience.observeAnswer(
+                  from.patience.recordResponse(
                     name,
                     nowMillis() - offeredMillis,
                   );
@@ -280,16 +282,16 @@
         enter(clients, firstMillis, triesCount + 1);
       });
     };
-    const tree = node.trees.countsOf(route.name);
+    const tree = node.trees.callCountsOf(route.name);
     node.budget.recordRequest(new Map([[route.service, 1]]));
     const gated = {importance: root.importance, attemptId: id};
-    const cause = node.gate.shedCause(gated, route.service, tree);
+    const cause = node.entryAdmission.shedCause(gated, route.service, tree);
     if (cause !== undefined) {
-      node.questions.noteShed(cause.service);
+      node.loadPoller.recordShed(cause.service);
       refuse();
       return;
     }
-    node.budget.recordExpected(callsBelow(tree, route.service));
+    node.budget.recordExpectedCalls(downstreamCallCounts(tree, route.service));
     attempt(node, {
       root,
       route,
@@ -316,14 +318,14 @@
 
   /** Asks one node of each service whose loads are heard of no more. */
   const askLoads = (node: ReplayNode): void => {
-    for (const service of node.questions.due()) {
+    for (const service of node.loadPoller.dueServices()) {
       const others = nodes.filter(
         other => other !== node && other.own.service === service,
       );
       const asked = others[Math.floor(random.next() * others.length)];
       if (asked === undefined) continue;
       clock.after(2 * HOP_MILLIS, () => {
-        for (const load of asked.loads()) node.board.observe(load);
+        for (const load of asked.loads()) node.loadTable.observe(load);
       });
     }
   };
--- a/test/fakes/hop_fixture.ts
+++ b/test/fakes/hop_fixture.ts
@@ -3,14 +3,17 @@
  */
 import type {Readable} from 'node:stream';
 import type {ExecutionContext} from 'ava';
-import type {HopArrival} from '../../src/connection/hop_arrival.js';
+import type {IncomingHop} from '../../src/connection/incoming_hop.js';
 import type {HopListener} from '../../src/connection/hop_listener.js';
 import {openHopListener} from '../../src/connection/hop_listener.js';
 import {createHopPeer} from '../../src/connection/hop_peer.js';
-import type {HopEnd, OutgoingHop} from '../../src/connection/outgoing_hop.js';
+import type {
+  HopResult,
+  OutgoingHop,
+} from '../../src/connection/outgoing_hop.js';
 import {createOutgoingHop} from '../../src/connection/outgoing_hop.js';
-import {createPeerWatch} from '../../src/connection/peer_watch.js';
-import type {ReceivedAnswer} from '../../src/connection/received_answer.js';
+import {createPeerMonitor} from '../../src/connection/peer_monitor.js';
+import type {ReceivedResponse} from '../../src/connection/received_response.js';
 import {createFaultyLink} from '../../src/emulator/faulty_link.js';
 
 const ADDRESS = '127.0.0.1';
@@ -22,7 +25,7 @@
 /** A node that executes what `handle` is given, with a relay in front. */
 export async function createHopFixture(
   t: ExecutionContext,
-  handle: (arrival: HopArrival) => Promise<void>,
+  handle: (arrival: IncomingHop) => Promise<void>,
 ) {
   const listen = (instanceId: string): Promise<HopListener> =>
     openHopListener({
@@ -31,7 +34,7 @@
       bodyBytes: () => MAX_BODY_BYTES,
       handle,
       loads: () => [],
-      answerQuestion: () => undefined,
+      answerRelayQuery: () => undefined,
       receiveCrashReport: () => undefined,
       answerQuotaReport: () => undefined,
       nowMillis,
@@ -42,7 +45,7 @@
   const listener = await listen('first');
   const link = await createFaultyLink({targetPort: listener.port});
   const endpoint = {address: ADDRESS, port: link.port};
-  const watch = createPeerWatch({
+  const watch = createPeerMonitor({
     nowMillis,
     onPeerLost: () => undefined,
     onPeerFound: () => undefined,
@@ -51,12 +54,12 @@
   const peer = createHopPeer({
     endpoint,
     nowMillis,
-    onHeard: () => {
-      signs.noteHeard();
+    onDataReceived: () => {
+      signs.recordActivity();
     },
     onLoads: () => undefined,
     onChanges: () => undefined,
-    onReplaced: count => {
+    onHopsResumed: count => {
       replacedCount += count;
     },
   });
@@ -71,7 +74,7 @@
   /** Sends a request; `ended` holds how it ended. */
   const send = (isRepeatable: boolean, body = NOTHING): SentHop => {
     let hop: OutgoingHop | undefined;
-    const ended = new Promise<HopEnd>(resolve => {
+    const ended = new Promise<HopResult>(resolve => {
       hop = createOutgoingHop({
         body,
         startedMillis: nowMillis(),
@@ -83,7 +86,7 @@
     return {
       ended,
       cancel: () => {
-        hop?.lost('cancelled');
+        hop?.fail('cancelled');
       },
     };
   };
@@ -99,7 +102,7 @@
 
 /** A request on its way. */
 export interface SentHop {
-  readonly ended: Promise<HopEnd>;
+  readonly ended: Promise<HopResult>;
   cancel(): void;
 }
 
@@ -127,15 +130,15 @@
 
 /** Answers with a text, and the rest if there is one. */
 export function answerWith(
-  arrival: HopArrival,
+  arrival: IncomingHop,
   text: string,
-  rest?: Readable,
+  bodyRest?: Readable,
 ): void {
-  const received: ReceivedAnswer = {
+  const received: ReceivedResponse = {
     statusCode: 200,
     headers: [],
-    start: Buffer.from(text),
-    rest,
+    bodyStart: Buffer.from(text),
+    bodyRest,
     isUnframed: false,
   };
   arrival.answer({
@@ -152,7 +155,7 @@
 }
 
 /** The beginning of the answer, or how the request ended without one. */
-export function startOf(end: HopEnd): string {
+export function startOf(end: HopResult): string {
   if (end.kind !== 'answer') return `${end.kind} ${end.reason}`;
-  return end.received?.start.toString() ?? 'no answer';
+  return end.received?.bodyStart.toString() ?? 'no answer';
 }
--- a/test/fakes/node_process.ts
+++ b/test/fakes/node_process.ts
@@ -7,7 +7,7 @@
 import {join} from 'node:path';
 import {createInterface} from 'node:readline';
 import {stringify} from 'yaml';
-import {SETTINGS_VARIABLE} from '../../platform/names.js';
+import {SETTINGS_VARIABLE} from '../../platform/wire_names.js';
 
 /** What a process has cost since its start. */
 export interface ProcessCost {
--- a/test/fakes/placement_node.ts
+++ b/test/fakes/placement_node.ts
@@ -1,7 +1,7 @@
 /**
  * The chooser of one node in zone a, on a clock that the test moves.
  */
-import {createLoadBoard} from '../../src/process/admission/load_board.js';
+import {createLoadTable} from '../../src/process/admission/load_table.js';
 import {createUpstreamDirectory} from '../../src/process/membership/upstream_directory.js';
 import {createPlacementChooser} from '../../src/process/placement/placement.js';
 
@@ -9,14 +9,14 @@
 export function createPlacementNode(random: () => number) {
   let now = 10_000;
   const nowMillis = (): number => now;
-  const board = createLoadBoard(nowMillis);
+  const loadTable = createLoadTable(nowMillis);
   const directory = createUpstreamDirectory({
     nowMillis,
     onChange: () => undefined,
   });
   const chooser = createPlacementChooser({
     directory,
-    board,
+    loadTable,
     hostKey: '10.0.0.9:80',
     zone: 'zone-a',
     region: 'region',
@@ -24,7 +24,7 @@
     random,
   });
   return {
-    board,
+    loadTable,
     directory,
     chooser,
     nowMillis,
--- a/test/fakes/platform_fleet.ts
+++ b/test/fakes/platform_fleet.ts
@@ -2,8 +2,8 @@
  * A small fleet on the platform in one process: a store, and hosts of one
  * upstream and one node each, every host with a loopback address of its own.
  */
-import {createDocuments} from '../../platform/documents.js';
-import {HEADERS} from '../../platform/names.js';
+import {createPublishedDocuments} from '../../platform/documents.js';
+import {HEADERS} from '../../platform/wire_names.js';
 import type {ServiceNode} from '../../src/daemon/service_node.js';
 import {startServiceNode} from '../../src/daemon/service_node.js';
 import type {DecisionFields} from '../../src/process/log/decision_log.js';
@@ -214,8 +214,8 @@
     const metrics = createNodeMetrics();
     const node = await startServiceNode({
       settings,
-      names: HEADERS,
-      documents: createDocuments(settings.store, {
+      wireHeaders: HEADERS,
+      documents: createPublishedDocuments(settings.store, {
         inboundPort,
         regionOfZone: new Map([['zone-a', 'region']]),
       }),
@@ -260,10 +260,10 @@
 
 function createRecordingLog(events: LoggedEvent[]): DecisionLog {
   return new (class extends DecisionLog {
-    override request(event: string, fields: DecisionFields): void {
+    override logRequestEvent(event: string, fields: DecisionFields): void {
       events.push({event, fields});
     }
-    override state(event: string, fields: DecisionFields = {}): void {
+    override logStateEvent(event: string, fields: DecisionFields = {}): void {
       events.push({event, fields});
     }
   })();
--- a/test/fakes/quota_ways.ts
+++ b/test/fakes/quota_ways.ts
@@ -2,15 +2,15 @@
  * Ways of keeping a quota over a fleet: the one in use, and others that it is
  * compared with.
  */
-import {createCoordinatorChoice} from '../../src/process/quota/coordinator_choice.js';
+import {createCoordinatorChooser} from '../../src/process/quota/coordinator_chooser.js';
 import {createQuotaCoordinator} from '../../src/process/quota/quota_coordinator.js';
 import {
-  createQuotaExchange,
+  createQuotaEnforcer,
   MAX_WAIT_MILLIS,
-} from '../../src/process/quota/quota_exchange.js';
-import {createQuotaGate} from '../../src/process/quota/quota_gate.js';
-import type {ZonedHost} from '../../src/process/quota/zone_reach.js';
-import {createZoneReach} from '../../src/process/quota/zone_reach.js';
+} from '../../src/process/quota/quota_enforcer.js';
+import {createQuotaLimiter} from '../../src/process/quota/quota_limiter.js';
+import type {ZonedHost} from '../../src/process/quota/zone_reachability.js';
+import {createZoneReachability} from '../../src/process/quota/zone_reachability.js';
 import {
   decodeQuotaAllowances,
   decodeQuotaReport,
@@ -30,29 +30,29 @@
   const {bound, clock} = fleet;
   const hosts: readonly ReplayedHost[] = hostsOf(fleet.nodesCount);
   const ownHostKey = hosts[index]!.hostKey;
-  const reach = createZoneReach(nowMillis);
-  const choice = createCoordinatorChoice<ReplayedHost>({
+  const reachability = createZoneReachability(nowMillis);
+  const coordinatorChooser = createCoordinatorChooser<ReplayedHost>({
     hosts: () => hosts,
     ownHostKey,
-    reach,
+    reachability,
     nowMillis,
     random,
   });
   const coordinator = createQuotaCoordinator({
     quotaOf: () => fleet.organisation().quota,
     bound: () => bound,
-    isFirstChoice: choice.isFirstChoice,
-    reachableRatio: choice.reachableRatio,
+    isFirstChoice: coordinatorChooser.isFirstChoice,
+    reachableRatio: coordinatorChooser.reachableRatio,
     nowMillis,
   });
-  const exchange = createQuotaExchange<ReplayedHost>({
+  const exchange = createQuotaEnforcer<ReplayedHost>({
     reporterId: `${String(index)}/${String(parts.startsCount)}`,
     ownHostKey,
     zone: hosts[index]!.zone,
-    reach,
+    reachability,
     coordinator,
-    choice,
-    gate: createQuotaGate({
+    coordinatorChooser,
+    limiter: createQuotaLimiter({
       bound: () => bound,
       nodesCount: () => fleet.nodesCount,
       nowMillis,
@@ -66,7 +66,7 @@
       const allowances = decodeQuotaAllowances(answer) ?? [];
       return {kind: 'answered', allowances};
     },
-    patience: () =>
+    waitTimeout: () =>
       new Promise(resolve => {
         clock.after(MAX_WAIT_MILLIS, resolve);
       }),
--- a/test/fakes/relay_fleet.ts
+++ b/test/fakes/relay_fleet.ts
@@ -4,16 +4,16 @@
  */
 import * as Effect from 'effect/Effect';
 import * as TestClock from 'effect/testing/TestClock';
-import {CHANGES_ANSWER_MILLIS} from '../../src/connection/remote_execution.js';
-import {PASS_ON_MILLIS} from '../../src/daemon/document_feeds.js';
+import {CHANGES_QUERY_TIMEOUT_MILLIS} from '../../src/connection/remote_execution.js';
+import {RELAY_RESERVE_MILLIS} from '../../src/daemon/document_feeds.js';
 import {followDocuments} from '../../src/connection/document_follower.js';
 import type {PeerRelay} from '../../src/connection/peer_relay.js';
 import {createPeerRelay} from '../../src/connection/peer_relay.js';
 import type {SourcePosition} from '../../src/process/membership/document_source.js';
-import {createFollowPace} from '../../src/process/membership/follow_pace.js';
+import {createFollowerPacing} from '../../src/process/membership/follower_pacing.js';
 import type {PeerPositions} from '../../src/process/membership/peer_positions.js';
 import {createPeerPositions} from '../../src/process/membership/peer_positions.js';
-import {createKnownDocuments} from '../../src/process/membership/known_documents.js';
+import {createDocumentCache} from '../../src/process/membership/document_cache.js';
 import type {KnownUpstream} from '../../src/process/membership/known_upstream.js';
 import {createWatcherSelection} from '../../src/process/membership/watcher_selection.js';
 import {createReplayedSource} from './replayed_source.js';
@@ -104,7 +104,7 @@
       const wake = (): void => {
         resolve(undefined);
       };
-      sleepers.add({atMillis: now + CHANGES_ANSWER_MILLIS, wake});
+      sleepers.add({atMillis: now + CHANGES_QUERY_TIMEOUT_MILLIS, wake});
     });
 
   const followers = hosts.map(({entry}) => {
@@ -118,13 +118,13 @@
         zone: entry.zone,
         nowMillis,
       }),
-      documents: createKnownDocuments(),
+      documents: createDocumentCache(),
       send: async (target, question) => {
         const asked = nodes.find(({hostKey}) => hostKey === target.hostKey);
         if (asked === undefined || asked.isCutOff || node.isCutOff) {
           return silence();
         }
-        return asked.relay.answer(question);
+        return asked.relay.answerQuery(question);
       },
     });
     const node: Node = {
@@ -132,7 +132,7 @@
       zone: entry.zone,
       source,
       get known() {
-        return positions.known;
+        return positions.applied;
       },
       texts,
       isCutOff: false,
@@ -149,9 +149,9 @@
       prefix: '',
       peerPositions: positions,
       relay,
-      pace: createFollowPace({
+      pace: createFollowerPacing({
         applyWithinMillis: options.applyWithinMillis,
-        passOnMillis: PASS_ON_MILLIS,
+        relayReserveMillis: RELAY_RESERVE_MILLIS,
         random,
       }),
       nowMillis,
@@ -178,8 +178,8 @@
       if (random() >= chance) continue;
       const other = nodes[Math.floor(random() * nodes.length)];
       if (other === undefined || other.isCutOff || node.isCutOff) continue;
-      node.positions.noteTold(other.positions.known);
-      other.positions.noteTold(node.positions.known);
+      node.positions.recordPeerPosition(other.positions.applied);
+      other.positions.recordPeerPosition(node.positions.applied);
     }
   };
 
--- a/test/fakes/replay_node.ts
+++ b/test/fakes/replay_node.ts
@@ -9,15 +9,15 @@
 } from '../../src/process/admission/admission_level.js';
 import type {CallTrees} from '../../src/process/admission/call_trees.js';
 import {createCallTrees} from '../../src/process/admission/call_trees.js';
-import type {EntryGate} from '../../src/process/admission/entry_gate.js';
-import {createEntryGate} from '../../src/process/admission/entry_gate.js';
+import type {EntryAdmission} from '../../src/process/admission/entry_admission.js';
+import {createEntryAdmission} from '../../src/process/admission/entry_admission.js';
 import type {
-  LoadBoard,
+  LoadTable,
   LoadReport,
-} from '../../src/process/admission/load_board.js';
-import {createLoadBoard} from '../../src/process/admission/load_board.js';
-import type {LoadQuestions} from '../../src/process/admission/load_questions.js';
-import {createLoadQuestions} from '../../src/process/admission/load_questions.js';
+} from '../../src/process/admission/load_table.js';
+import {createLoadTable} from '../../src/process/admission/load_table.js';
+import type {LoadPoller} from '../../src/process/admission/load_poller.js';
+import {createLoadPoller} from '../../src/process/admission/load_poller.js';
 import type {PlacementChooser} from '../../src/process/placement/placement.js';
 import {createPlacementChooser} from '../../src/process/placement/placement.js';
 import type {RejectionRate} from '../../src/process/admission/rejection_rate.js';
@@ -25,8 +25,8 @@
   createRejectionRate,
   isRejecting,
 } from '../../src/process/admission/rejection_rate.js';
-import type {AttemptPatience} from '../../src/process/repeats/attempt_patience.js';
-import {createAttemptPatience} from '../../src/process/repeats/attempt_patience.js';
+import type {AttemptTimeouts} from '../../src/process/repeats/attempt_timeouts.js';
+import {createAttemptTimeouts} from '../../src/process/repeats/attempt_timeouts.js';
 import type {RelativeSlowness} from '../../src/process/placement/relative_slowness.js';
 import {createRelativeSlowness} from '../../src/process/placement/relative_slowness.js';
 import type {RepeatBudget} from '../../src/process/repeats/repeat_budget.js';
@@ -63,11 +63,11 @@
   readonly level: AdmissionLevel;
   readonly rejections: RejectionRate;
   readonly slowness: RelativeSlowness;
-  readonly patience: AttemptPatience;
-  readonly board: LoadBoard;
+  readonly patience: AttemptTimeouts;
+  readonly loadTable: LoadTable;
   readonly trees: CallTrees;
-  readonly gate: EntryGate;
-  readonly questions: LoadQuestions;
+  readonly entryAdmission: EntryAdmission;
+  readonly loadPoller: LoadPoller;
   readonly placement: PlacementChooser;
   /** Load of the own upstream, which is put on the board as well. */
   ownLoad(): LoadReport;
@@ -92,17 +92,17 @@
   const queue = createUpstreamQueue(nowMillis);
   queue.setSlots(own.slotsCount);
   const level = createAdmissionLevel();
-  const board = createLoadBoard(nowMillis);
+  const loadTable = createLoadTable(nowMillis);
   const trees = createCallTrees();
   const directory = createUpstreamDirectory({
     nowMillis,
     onChange: () => undefined,
   });
   directory.put(entries);
-  const gate = createEntryGate(board, () => true);
+  const entryAdmission = createEntryAdmission(loadTable, () => true);
   const placement = createPlacementChooser({
     directory,
-    board,
+    loadTable,
     hostKey: own.hostKey,
     zone: own.zone,
     region: own.region,
@@ -119,7 +119,7 @@
   const reportedMillis = new Map<string, number>();
   const ownRejections = (): Pick<LoadReport, 'rejections'> => {
     const current = rejections.current();
-    const others = board.serviceLoadOf(own.service);
+    const others = loadTable.serviceLoadOf(own.service);
     return isRejecting(current) || others?.isRejecting
       ? {rejections: current}
       : {};
@@ -134,18 +134,18 @@
       slownessRatio: slowness.ratio(),
       ...ownRejections(),
     };
-    board.observe(report);
+    loadTable.observe(report);
     return report;
   };
   const moveLevel = (): void => {
     ownLoad();
-    const service = board.serviceLoadOf(own.service);
+    const service = loadTable.serviceLoadOf(own.service);
     level.update({
       ...queue.load(),
       windowMillis: LEVEL_WINDOW_MILLIS,
       service,
     });
-    board.expire();
+    loadTable.expire();
   };
   const loadsFor = (senderId: string): readonly LoadReport[] => {
     const last = reportedMillis.get(senderId) ?? -Infinity;
@@ -155,7 +155,7 @@
   };
   const loads = (): readonly LoadReport[] => {
     const mine = ownLoad();
-    const others = board
+    const others = loadTable
       .shedding()
       .filter(report => report.upstreamId !== own.id);
     return [mine, ...others.slice(0, REPORTED_LOADS_COUNT)];
@@ -170,12 +170,12 @@
     level,
     rejections,
     slowness,
-    patience: createAttemptPatience(),
-    board,
+    patience: createAttemptTimeouts(),
+    loadTable,
     trees,
-    gate,
-    questions: createLoadQuestions({
-      board,
+    entryAdmission,
+    loadPoller: createLoadPoller({
+      loadTable,
       ownUpstreamId: () => own.id,
       nowMillis,
     }),
--- a/test/fakes/replayed_source.ts
+++ b/test/fakes/replayed_source.ts
@@ -4,7 +4,7 @@
  */
 import type {
   DocumentChange,
-  DocumentRead,
+  DocumentBatch,
   DocumentSource,
   SourcePosition,
 } from '../../src/process/membership/document_source.js';
@@ -56,7 +56,7 @@
   readonly isAnswered: boolean;
   /** Nothing ends it before its time. */
   readonly isHeld: boolean;
-  readonly resolve: (read: DocumentRead | 'history-lost') => void;
+  readonly resolve: (read: DocumentBatch | 'history-lost') => void;
   readonly reject: (error: Error) => void;
 }
 
@@ -117,7 +117,7 @@
     afterRevision: number,
     waitMillis: number,
     signal?: AbortSignal,
-  ): Promise<DocumentRead | 'history-lost'> => {
+  ): Promise<DocumentBatch | 'history-lost'> => {
     callsCount += 1;
     if (state === 'refusing') return Promise.reject(new Error('refused'));
     const isAnswered = state === 'well';
--- a/test/scenario/scenario_runner.ts
+++ b/test/scenario/scenario_runner.ts
@@ -8,7 +8,7 @@
   createSmallServices,
 } from '../../src/emulator/small_deployment.js';
 import {waitFor} from '../../src/emulator/wait_for.js';
-import type {PublishedState} from '../../src/version/host_list.js';
+import type {PublishedHostState} from '../../src/version/host_list.js';
 import {changePolicy} from './policy_change.js';
 import type {Condition, Statement, StatementOf} from './scenario_ast.js';
 import {actOnDaemons} from './scenario_daemons.js';
@@ -146,7 +146,7 @@
   statement: StatementOf<'publish-hosts'>,
 ): Promise<void> {
   const fleet = fleetOf(run);
-  const states = new Map<string, PublishedState>(fleet.publishedStates());
+  const states = new Map<string, PublishedHostState>(fleet.publishedStates());
   for (const {host, state} of statement.changes) {
     const name = resolveHost(run, host);
     if (state === 'removed') states.delete(name);
--- a/test/unit/base/loop_clock.test.ts
+++ b/test/unit/base/cached_clock.test.ts
@@ -1,10 +1,10 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import test from 'ava';
-import {createLoopClock} from '../../../src/base/loop_clock.js';
+import {createCachedClock} from '../../../src/base/cached_clock.js';
 
 test('the clock stands still within a turn and moves on with the next', async t => {
   let readsCount = 0;
-  const nowMillis = createLoopClock(() => {
+  const nowMillis = createCachedClock(() => {
     readsCount += 1;
     return readsCount;
   });
--- a/test/unit/connection/crash_report_sender.test.ts
+++ b/test/unit/connection/crash_report_sender.test.ts
@@ -4,7 +4,7 @@
 import {bindListener} from '../../../src/connection/bind_listener.js';
 import {openHopListener} from '../../../src/connection/hop_listener.js';
 import {createRemoteExecution} from '../../../src/connection/remote_execution.js';
-import {createLoadBoard} from '../../../src/process/admission/load_board.js';
+import {createLoadTable} from '../../../src/process/admission/load_table.js';
 import {createPeerPositions} from '../../../src/process/membership/peer_positions.js';
 import {encodeCrashReport} from '../../../src/protocol/crash_report_codec.js';
 import {waitUntil} from '../../fakes/wait_until.js';
@@ -24,7 +24,7 @@
 
 function createSender(onCrashReport: (report: Buffer) => void) {
   return createRemoteExecution({
-    board: createLoadBoard(nowMillis),
+    loadTable: createLoadTable(nowMillis),
     peerPositions: createPeerPositions(),
     nowMillis,
     onPeerLost: NOTHING,
@@ -32,7 +32,7 @@
     onCrashReport: (_peer, report) => {
       onCrashReport(report);
     },
-    onLinkLost: NOTHING,
+    onConnectionReplaced: NOTHING,
   });
 }
 
@@ -46,7 +46,7 @@
     bodyBytes: () => 0,
     handle: () => Promise.resolve(),
     loads: () => [],
-    answerQuestion: () => undefined,
+    answerRelayQuery: () => undefined,
     receiveCrashReport: report => report,
     answerQuotaReport: () => undefined,
     nowMillis,
--- a/test/unit/connection/document_follower.test.ts
+++ b/test/unit/connection/document_follower.test.ts
@@ -2,7 +2,7 @@
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
 import {followDocuments} from '../../../src/connection/document_follower.js';
-import {createFollowPace} from '../../../src/process/membership/follow_pace.js';
+import {createFollowerPacing} from '../../../src/process/membership/follower_pacing.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
 /** An answer without news. */
@@ -24,7 +24,7 @@
     followDocuments({
       prefix: 'p/',
       nowMillis: () => 0,
-      pace: createFollowPace({applyWithinMillis: 2000, random: () => 0}),
+      pace: createFollowerPacing({applyWithinMillis: 2000, random: () => 0}),
       listener: {
         onCall: () => undefined,
         onRestored: () => undefined,
--- a/test/unit/connection/document_follower_load.test.ts
+++ b/test/unit/connection/document_follower_load.test.ts
@@ -3,7 +3,7 @@
  * many documents change and while the source is away.
  */
 import test from 'ava';
-import {createFollowPace} from '../../../src/process/membership/follow_pace.js';
+import {createFollowerPacing} from '../../../src/process/membership/follower_pacing.js';
 import type {PeerPositions} from '../../../src/process/membership/peer_positions.js';
 import {createPeerPositions} from '../../../src/process/membership/peer_positions.js';
 import {replayFollower} from '../../fakes/follower_replay.js';
@@ -66,7 +66,10 @@
     },
     prefix: '',
     peerPositions,
-    pace: createFollowPace({applyWithinMillis, random: createSeededRandom(5)}),
+    pace: createFollowerPacing({
+      applyWithinMillis,
+      random: createSeededRandom(5),
+    }),
     listener: {
       onCall: () => undefined,
       onRestored: () => undefined,
@@ -181,7 +184,8 @@
       if (atMillis === 8700) source.compact();
       if (atMillis === 8700) source.holdWatches(false);
       // The others were told at once, and say so with their messages.
-      if (atMillis >= 8700) peerPositions.noteTold({epoch: 0, revision: 2});
+      if (atMillis >= 8700)
+        peerPositions.recordPeerPosition({epoch: 0, revision: 2});
     },
   );
   t.true(worstDelayMillis <= 1000, `${String(worstDelayMillis)} ms`);
@@ -213,7 +217,10 @@
     30,
     2000,
     (_source, atMillis, peerPositions) => {
-      peerPositions.noteTold({epoch: 0, revision: 1_000_000 + atMillis});
+      peerPositions.recordPeerPosition({
+        epoch: 0,
+        revision: 1_000_000 + atMillis,
+      });
     },
   );
   t.true(callsPerSecond <= 3 / 2, `${String(callsPerSecond)} calls a second`);
--- a/test/unit/connection/hop_transport.test.ts
+++ b/test/unit/connection/hop_transport.test.ts
@@ -209,7 +209,7 @@
   }
   const end = await send(true).ended;
   t.is(startOf(end), 'start');
-  const rest = end.kind === 'answer' ? end.received?.rest : undefined;
+  const rest = end.kind === 'answer' ? end.received?.bodyRest : undefined;
   await sleep(100);
   t.true(producedCount < 10, `${String(producedCount)} chunks unread`);
   let bytes = 0;
@@ -226,7 +226,7 @@
     return Promise.resolve();
   });
   const end = await send(true).ended;
-  const rest = end.kind === 'answer' ? end.received?.rest : undefined;
+  const rest = end.kind === 'answer' ? end.received?.bodyRest : undefined;
   await t.throwsAsync(
     async () => {
       for await (const chunk of rest ?? []) void chunk;
--- a/test/unit/connection/node_listener.test.ts
+++ b/test/unit/connection/http_listener.test.ts
@@ -1,8 +1,8 @@
 import {once} from 'node:events';
 import net from 'node:net';
 import test from 'ava';
-import type {Exchange} from '../../../src/connection/node_listener.js';
-import {openNodeListener} from '../../../src/connection/node_listener.js';
+import type {HttpExchange} from '../../../src/connection/http_listener.js';
+import {openHttpListener} from '../../../src/connection/http_listener.js';
 import {recordReadRequests} from '../../fakes/read_requests.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
@@ -11,8 +11,8 @@
   // been written as the last one of the connection, and waited for a third one,
   // still before it, to be sent.
   const read = recordReadRequests(t);
-  const exchanges: Exchange[] = [];
-  const listener = await openNodeListener({
+  const exchanges: HttpExchange[] = [];
+  const listener = await openHttpListener({
     endpoint: {address: '127.0.0.1', port: 0},
     handle: exchange => {
       exchanges.push(exchange);
@@ -36,9 +36,9 @@
   ask('/2');
   await waitUntil('two read', () => exchanges.length === 2);
   const [first, second] = exchanges;
-  t.false(first!.isLastRead());
-  t.true(second!.isLastRead());
-  second!.endConnection();
+  t.false(first!.isNewestOnConnection());
+  t.true(second!.isNewestOnConnection());
+  second!.ignoreFurtherRequests();
   second!.response.writeHead(200, {connection: 'close', 'content-length': 0});
   second!.response.end();
   ask('/3');
@@ -57,7 +57,7 @@
 test('a request that the system has accepted is handled though the listener closes', async t => {
   // Clients saw their connection reset beside a planned restart, for a request
   // that nobody had read: it was in the queue of a listener that closed.
-  const listener = await openNodeListener({
+  const listener = await openHttpListener({
     endpoint: {address: '127.0.0.1', port: 0},
     handle: ({response}) => {
       response.writeHead(503, {connection: 'close', 'content-length': 0});
