--- a/test/unit/connection/peer_watch.test.ts
+++ b/test/unit/connection/peer_monitor.test.ts
@@ -1,17 +1,17 @@
 import type {ExecutionContext} from 'ava';
 import test from 'ava';
 import type {
-  PeerSigns,
-  PeerWatch,
-  WatchedConnection,
-} from '../../../src/connection/peer_watch.js';
-import {createPeerWatch} from '../../../src/connection/peer_watch.js';
+  PeerLiveness,
+  PeerMonitor,
+  MonitoredConnection,
+} from '../../../src/connection/peer_monitor.js';
+import {createPeerMonitor} from '../../../src/connection/peer_monitor.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
 const ENDPOINT = {address: 'p', port: 1};
 
-interface FakeConnection extends WatchedConnection {
-  heardMillis: number;
+interface FakeConnection extends MonitoredConnection {
+  lastReceivedMillis: number;
   waitingSinceMillis: number | undefined;
 }
 
@@ -25,13 +25,13 @@
   let pingsCount = 0;
   const events: string[] = [];
   const connection: FakeConnection = {
-    heardMillis: 0,
+    lastReceivedMillis: 0,
     waitingSinceMillis: undefined,
     ping: () => {
       pingsCount += 1;
     },
   };
-  const watch = createPeerWatch({
+  const watch = createPeerMonitor({
     nowMillis: () => now,
     onPeerLost: (peer, hopsCount) => {
       events.push(`lost ${peer.address} ${String(hopsCount)}`);
@@ -41,20 +41,20 @@
     },
   });
   t.teardown(watch.dispose);
-  const signs: PeerSigns = watch.add({
+  const signs: PeerLiveness = watch.add({
     endpoint: ENDPOINT,
-    strandedCount: 0,
+    detachedHopsCount: 0,
     connections: () => [connection],
-    verify: () => {
+    probe: () => {
       asksCount += 1;
       return Promise.resolve(reply(asksCount));
     },
-    replaceSilent: sinceMillis => {
-      if (connection.heardMillis >= sinceMillis) return;
+    replaceSilentConnections: sinceMillis => {
+      if (connection.lastReceivedMillis >= sinceMillis) return;
       events.push('replaced');
       connection.waitingSinceMillis = undefined;
     },
-    giveUp: () => {
+    failResendableHops: () => {
       events.push('given up');
       return 1;
     },
@@ -68,8 +68,8 @@
       connection.waitingSinceMillis = now;
     },
     hear: () => {
-      connection.heardMillis = now;
-      signs.noteHeard();
+      connection.lastReceivedMillis = now;
+      signs.recordActivity();
     },
     asksCount: () => asksCount,
     pingsCount: () => pingsCount,
@@ -80,21 +80,21 @@
 }
 
 /** Adds a node that was heard and does not reply any more. */
-function addWitness(watch: PeerWatch): () => number {
+function addWitness(watch: PeerMonitor): () => number {
   const endpoint = {address: 'q', port: 1};
   let asksCount = 0;
   const signs = watch.add({
     endpoint,
-    strandedCount: 0,
+    detachedHopsCount: 0,
     connections: () => [],
-    verify: () => {
+    probe: () => {
       asksCount += 1;
       return Promise.resolve(false);
     },
-    replaceSilent: () => undefined,
-    giveUp: () => 0,
+    replaceSilentConnections: () => undefined,
+    failResendableHops: () => 0,
   });
-  signs.noteHeard();
+  signs.recordActivity();
   return () => asksCount;
 }
 
--- a/test/unit/connection/question_links.test.ts
+++ b/test/unit/connection/peer_query_client.test.ts
@@ -4,7 +4,7 @@
 import type {ExecutionContext} from 'ava';
 import test from 'ava';
 import {acceptFrameConnection} from '../../../src/connection/frame_connection.js';
-import {createQuestionLinks} from '../../../src/connection/question_links.js';
+import {createPeerQueryClient} from '../../../src/connection/peer_query_client.js';
 import type {Frame} from '../../../src/protocol/hop_frames.js';
 import {FRAME_KIND} from '../../../src/protocol/hop_frames.js';
 
@@ -24,7 +24,7 @@
     connectionsCount += 1;
     sockets.add(socket);
     const connection = acceptFrameConnection(socket, {
-      onHeard: () => undefined,
+      onDataReceived: () => undefined,
       onFrame: frame => {
         answer(
           frame,
@@ -54,8 +54,8 @@
 }
 
 function startLinks(t: ExecutionContext) {
-  const links = createQuestionLinks({
-    answerKind: FRAME_KIND.quotas,
+  const links = createPeerQueryClient({
+    responseKind: FRAME_KIND.quotas,
     nowMillis: () => performance.now(),
   });
   t.teardown(links.dispose);
@@ -74,7 +74,7 @@
   const links = startLinks(t);
   const texts = ['a', 'b', 'c'];
   const answers = await Promise.all(
-    texts.map(text => links.ask(peer.endpoint, Buffer.from(text))),
+    texts.map(text => links.query(peer.endpoint, Buffer.from(text))),
   );
   t.deepEqual(answers.map(String), texts);
   t.is(peer.connectionsCount, 1);
@@ -88,9 +88,9 @@
     socket.destroy();
   });
   const refused = {address: ADDRESS, port: 1};
-  t.is(await links.ask(silent.endpoint, question), 'silent');
-  t.is(await links.ask(ending.endpoint, question), 'closed');
-  t.is(await links.ask(refused, question), 'closed');
+  t.is(await links.query(silent.endpoint, question), 'silent');
+  t.is(await links.query(ending.endpoint, question), 'closed');
+  t.is(await links.query(refused, question), 'closed');
 });
 
 test('an answer of another kind, as of an earlier version, is none', async t => {
@@ -98,5 +98,5 @@
   const peer = await startPeer(t, ({channelId}, send) => {
     send(FRAME_KIND.pong, channelId, Buffer.from('[]'));
   });
-  t.is(await links.ask(peer.endpoint, Buffer.from('?')), 'closed');
+  t.is(await links.query(peer.endpoint, Buffer.from('?')), 'closed');
 });
--- a/test/unit/connection/peer_relay.test.ts
+++ b/test/unit/connection/peer_relay.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 import {createPeerRelay} from '../../../src/connection/peer_relay.js';
-import {createKnownDocuments} from '../../../src/process/membership/known_documents.js';
+import {createDocumentCache} from '../../../src/process/membership/document_cache.js';
 import type {KnownUpstream} from '../../../src/process/membership/known_upstream.js';
 import {createWatcherSelection} from '../../../src/process/membership/watcher_selection.js';
 import {encodeFrame, FRAME_KIND} from '../../../src/protocol/hop_frames.js';
 import {createFrameReader} from '../../../src/protocol/hop_frames.js';
-import {encodeRelayQuestion} from '../../../src/protocol/relay_codec.js';
+import {encodeRelayQuery} from '../../../src/protocol/relay_codec.js';
 import {upstreamEntry} from '../../fakes/route_documents.js';
 
 const POSITION = {epoch: 1, revision: 10};
@@ -25,7 +25,7 @@
         zone: 'zone-a',
         nowMillis: () => 0,
       }),
-      documents: createKnownDocuments(),
+      documents: createDocumentCache(),
       send: (_entry, question) => Promise.resolve(answerOf(question)),
     });
   return {relayOf};
@@ -35,7 +35,7 @@
 async function pairOf(answerOf: (question: Buffer) => Buffer | undefined) {
   const {relayOf} = createFixture(answerOf);
   const [first, second] = [relayOf('a'), relayOf('b')];
-  const isFirstAsking = (await first.ask(POSITION, false)) !== 'watch';
+  const isFirstAsking = (await first.poll(POSITION, false)) !== 'watch';
   return isFirstAsking
     ? {asking: relayOf('a'), asked: second}
     : {asking: relayOf('b'), asked: first};
@@ -45,17 +45,17 @@
   const changes = [{key: 'servers/1', revision: 12, text: 'one'}];
   const held: {answer?: Buffer | undefined} = {};
   const {asking, asked} = await pairOf(() => held.answer);
-  asked.noteRead({documents: [], position: POSITION});
-  asked.noteChanges({
+  asked.recordRead({documents: [], position: POSITION});
+  asked.recordChanges({
     documents: changes,
     position: {epoch: 1, revision: 12},
   });
-  held.answer = asked.answer(encodeRelayQuestion(POSITION));
-  t.is(await asking.ask(POSITION, false), 'failed');
-  asked.noteWatching(true);
-  held.answer = asked.answer(encodeRelayQuestion(POSITION));
+  held.answer = asked.answerQuery(encodeRelayQuery(POSITION));
+  t.is(await asking.poll(POSITION, false), 'failed');
+  asked.setWatching(true);
+  held.answer = asked.answerQuery(encodeRelayQuery(POSITION));
   const {asking: another} = await pairOf(() => held.answer);
-  t.deepEqual(await another.ask(POSITION, false), {
+  t.deepEqual(await another.poll(POSITION, false), {
     documents: changes,
     position: {epoch: 1, revision: 12},
   });
@@ -64,11 +64,11 @@
 test('who cannot be told all has to read', async t => {
   const held: {answer?: Buffer | undefined} = {};
   const {asking, asked} = await pairOf(() => held.answer);
-  asked.noteRead({documents: [], position: POSITION});
-  asked.noteWatching(true);
+  asked.recordRead({documents: [], position: POSITION});
+  asked.setWatching(true);
   const before = {epoch: 1, revision: 9};
-  held.answer = asked.answer(encodeRelayQuestion(before));
-  t.is(await asking.ask(before, false), 'read');
+  held.answer = asked.answerQuery(encodeRelayQuery(before));
+  t.is(await asking.poll(before, false), 'read');
 });
 
 test('documents that no message can hold are read', async t => {
@@ -77,18 +77,18 @@
   const held: {answer?: Buffer | undefined} = {};
   const {asking, asked} = await pairOf(() => held.answer);
   const text = '"'.repeat(1_200_000);
-  asked.noteRead({documents: [], position: POSITION});
-  asked.noteChanges({
+  asked.recordRead({documents: [], position: POSITION});
+  asked.recordChanges({
     documents: [{key: 'op/config', revision: 11, text}],
     position: {epoch: 1, revision: 11},
   });
-  asked.noteWatching(true);
-  held.answer = asked.answer(encodeRelayQuestion(POSITION));
+  asked.setWatching(true);
+  held.answer = asked.answerQuery(encodeRelayQuery(POSITION));
   const reader = createFrameReader(() => undefined);
   t.notThrows(() => {
     reader.push(
       encodeFrame(FRAME_KIND.changes, 0, [held.answer ?? Buffer.alloc(0)]),
     );
   });
-  t.is(await asking.ask(POSITION, false), 'read');
+  t.is(await asking.poll(POSITION, false), 'read');
 });
--- a/test/unit/connection/raw_headers.test.ts
+++ b/test/unit/connection/raw_headers.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import {
-  passedOnHeaders,
+  forwardedHeaders,
   withoutConnectionHeaders,
 } from '../../../src/connection/raw_headers.js';
 
@@ -26,6 +26,6 @@
 
 test('what a connection names is its own, and frames are made anew', t => {
   const named = ['Connection', 'X-Hop, close', 'X-Hop', '1', ...ANSWER];
-  t.deepEqual(passedOnHeaders(named, new Set(['attempt-id'])), []);
+  t.deepEqual(forwardedHeaders(named, new Set(['attempt-id'])), []);
   t.deepEqual(withoutConnectionHeaders(named.slice(0, 4)), []);
 });
--- a/test/unit/connection/request_fingerprint.test.ts
+++ b/test/unit/connection/request_fingerprint.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type {FingerprintedRequest} from '../../../src/connection/request_fingerprint.js';
-import {fingerprintsOf} from '../../../src/connection/request_fingerprint.js';
+import {computeFingerprints} from '../../../src/connection/request_fingerprint.js';
 
 const REQUEST: FingerprintedRequest = {
   callerService: 'shop',
@@ -16,7 +16,7 @@
     headers: ['attempt-id', 'second', 'host', 'shop.example'],
     body: Buffer.from('body'),
   };
-  t.deepEqual(fingerprintsOf(again), fingerprintsOf(REQUEST));
+  t.deepEqual(computeFingerprints(again), computeFingerprints(REQUEST));
 });
 
 test('method, host, target and body make another request', t => {
@@ -27,14 +27,14 @@
     {body: Buffer.from('bodies')},
   ];
   const contents = [{}, ...others].map(
-    fields => fingerprintsOf({...REQUEST, ...fields}).content,
+    fields => computeFingerprints({...REQUEST, ...fields}).content,
   );
   t.is(new Set(contents).size, contents.length);
 });
 
 test('the caller is part of one of both fingerprints', t => {
-  const fromShop = fingerprintsOf(REQUEST);
-  const fromDesk = fingerprintsOf({...REQUEST, callerService: 'desk'});
+  const fromShop = computeFingerprints(REQUEST);
+  const fromDesk = computeFingerprints({...REQUEST, callerService: 'desk'});
   t.is(fromDesk.content, fromShop.content);
-  t.not(fromDesk.contentOfCaller, fromShop.contentOfCaller);
+  t.not(fromDesk.contentAndCaller, fromShop.contentAndCaller);
 });
--- a/test/unit/connection/answer_cut_off.test.ts
+++ b/test/unit/connection/unfinished_response.test.ts
@@ -1,8 +1,8 @@
 import {once} from 'node:events';
 import net from 'node:net';
 import test from 'ava';
-import {sendAnswer} from '../../../src/connection/answer_sender.js';
-import {openNodeListener} from '../../../src/connection/node_listener.js';
+import {sendResponse} from '../../../src/connection/response_sender.js';
+import {openHttpListener} from '../../../src/connection/http_listener.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
 for (const [what, isSlow] of [
@@ -15,17 +15,17 @@
     // connection that the end of the process closes ends in good order, which is how
     // an answer without a length ends.
     const body = Buffer.alloc(isSlow ? 64 * 1024 * 1024 : 1024);
-    const listener = await openNodeListener({
+    const listener = await openHttpListener({
       endpoint: {address: '127.0.0.1', port: 0},
       handle: exchange => {
         const answer = {
           statusCode: 200,
           headers: [],
           isUnframed: true,
-          start: body,
-          rest: undefined,
+          bodyStart: body,
+          bodyRest: undefined,
         };
-        sendAnswer(exchange.response, answer, [], 'GET');
+        sendResponse(exchange.response, answer, [], 'GET');
         return Promise.resolve();
       },
     });
@@ -42,7 +42,7 @@
     await once(socket, 'connect');
     socket.write('GET /1 HTTP/1.1\r\nhost: a\r\n\r\n');
     await once(socket, 'readable');
-    listener.cutOff();
+    listener.resetUnfinished();
     let receivedBytes = 0;
     socket.on('data', (chunk: Buffer) => (receivedBytes += chunk.length));
     await waitUntil('closed', () => socket.closed);
--- a/test/unit/daemon/document_feeds.test.ts
+++ b/test/unit/daemon/document_feeds.test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import {createPeerRelay} from '../../../src/connection/peer_relay.js';
-import {createKnownDocuments} from '../../../src/process/membership/known_documents.js';
+import {createDocumentCache} from '../../../src/process/membership/document_cache.js';
 import {createWatcherSelection} from '../../../src/process/membership/watcher_selection.js';
 import {createPeerPositions} from '../../../src/process/membership/peer_positions.js';
 import {startDocumentFeeds} from '../../../src/daemon/document_feeds.js';
 import {createConfigurationHolder} from '../../../src/process/membership/configuration_holder.js';
 import {DecisionLog} from '../../../src/process/log/decision_log.js';
 import type {
-  DocumentRead,
+  DocumentBatch,
   DocumentSource,
 } from '../../../src/process/membership/document_source.js';
 import {createNodeMetrics} from '../../../src/process/log/node_metrics.js';
@@ -18,9 +18,9 @@
 
 /** A source whose one list is written as names with spaces between them. */
 function createListDocuments() {
-  const waiting: ((read: DocumentRead) => void)[] = [];
+  const waiting: ((read: DocumentBatch) => void)[] = [];
   let revision = 1;
-  const readOf = (text: string): DocumentRead => ({
+  const readOf = (text: string): DocumentBatch => ({
     documents: [{key: 'list', revision, text}],
     position: {epoch: 0, revision},
   });
@@ -83,15 +83,15 @@
         zone: '',
         nowMillis: () => 0,
       }),
-      documents: createKnownDocuments(),
+      documents: createDocumentCache(),
       send: () => Promise.resolve(undefined),
     }),
     configuration: createConfigurationHolder(),
     log: new (class extends DecisionLog {
-      override request(event: string): void {
+      override logRequestEvent(event: string): void {
         events.push(event);
       }
-      override state(event: string): void {
+      override logStateEvent(event: string): void {
         events.push(event);
       }
     })(),
@@ -106,7 +106,7 @@
   await waitUntil('read', () => directory.count() === 2);
   await publish('broken');
   await waitUntil('told', () => events.includes('upstream-invalid'));
-  t.is(directory.ready('orders').length, 2);
+  t.is(directory.listReady('orders').length, 2);
   await publish('a');
   await waitUntil('read again', () => directory.count() === 1);
   t.is(directory.find('a')?.entry.id, 'a');
--- a/test/unit/daemon/restored_source_model.test.ts
+++ b/test/unit/daemon/restored_source_model.test.ts
@@ -11,7 +11,7 @@
 import {createNodeMetrics} from '../../../src/process/log/node_metrics.js';
 import {createConfigurationHolder} from '../../../src/process/membership/configuration_holder.js';
 import type {PublishedDocuments} from '../../../src/process/membership/published_documents.js';
-import {createFollowPace} from '../../../src/process/membership/follow_pace.js';
+import {createFollowerPacing} from '../../../src/process/membership/follower_pacing.js';
 import {createPeerPositions} from '../../../src/process/membership/peer_positions.js';
 import type {DirectoryChange} from '../../../src/process/membership/upstream_directory.js';
 import {createUpstreamDirectory} from '../../../src/process/membership/upstream_directory.js';
@@ -163,10 +163,10 @@
     configuration,
     directory,
     log: new (class extends DecisionLog {
-      override request(): void {
+      override logRequestEvent(): void {
         // The series tells what happened.
       }
-      override state(): void {
+      override logStateEvent(): void {
         // The series tells what happened.
       }
     })(),
@@ -184,7 +184,7 @@
     endMillis: nextMillis + actsMillis + SETTLE_MILLIS,
     prefix: '',
     peerPositions: createPeerPositions(),
-    pace: createFollowPace({applyWithinMillis: 2000, random}),
+    pace: createFollowerPacing({applyWithinMillis: 2000, random}),
     listener: createPrefixListener(listeners.byPrefix),
     act: atMillis => {
       while (left.length > 0 && atMillis >= nextMillis) {
@@ -194,8 +194,9 @@
         nextMillis += act.pauseMillis;
       }
       world.tick(atMillis);
-      if (atMillis % EXPIRE_MILLIS === 0) directory.expire();
-      for (const {entry} of directory.ready('orders')) memory.checkReady(entry);
+      if (atMillis % EXPIRE_MILLIS === 0) directory.removeExpired();
+      for (const {entry} of directory.listReady('orders'))
+        memory.checkReady(entry);
       const version = configuration.current()?.version ?? 0;
       if (version < versionBefore) memory.violations.push('version went back');
       versionBefore = version;
--- a/test/unit/platform/decoding.test.ts
+++ b/test/unit/platform/decoding.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
-import {decodeBackendEntry} from '../../../platform/backend_entry.js';
+import {decodeUpstreamEntry} from '../../../platform/upstream_entry.js';
 import {
   decodeOperatorDocument,
   redactOperatorDocument,
 } from '../../../platform/operator_document.js';
-import {decodeSettings, decodeZones} from '../../../platform/settings.js';
+import {decodeSettings, decodeZoneRegions} from '../../../platform/settings.js';
 import {apiKeyDigest} from '../../../src/version/organisation.js';
 
 const DOCUMENT = {
@@ -84,7 +84,7 @@
 }
 
 test('an entry is decoded, with the address of its host', t => {
-  const entry = decodeBackendEntry(
+  const entry = decodeUpstreamEntry(
     'servers/i-7',
     JSON.stringify({
       address: '10.128.0.9:8080',
@@ -146,7 +146,7 @@
     outbound: {address: '10.1.0.8', port: 8304},
     store: {address: '10.200.1.7', port: 8309},
   });
-  t.is(decodeZones(SETTINGS).get('a'), 'west');
+  t.is(decodeZoneRegions(SETTINGS).get('a'), 'west');
 });
 
 test('settings without a field are refused with its name', t => {
--- a/test/unit/platform/foreign_documents.test.ts
+++ b/test/unit/platform/malformed_documents.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import test from 'ava';
-import {createDocuments} from '../../../platform/documents.js';
-import {decodeBackendEntry} from '../../../platform/backend_entry.js';
+import {createPublishedDocuments} from '../../../platform/documents.js';
+import {decodeUpstreamEntry} from '../../../platform/upstream_entry.js';
 import {decodeOperatorDocument} from '../../../platform/operator_document.js';
 
 const FACTS = {inboundPort: 8300, regionOfZone: new Map([['a', 'west']])};
@@ -141,7 +141,7 @@
   test(`an entry with a broken ${path.join('.')} is refused by field`, t => {
     for (const value of values) {
       const text = withValue(ENTRY, path, value);
-      t.throws(() => decodeBackendEntry(KEY, text, FACTS), {
+      t.throws(() => decodeUpstreamEntry(KEY, text, FACTS), {
         message: new RegExp(`'${field}'`),
       });
     }
@@ -161,7 +161,7 @@
 
 test('an entry may tell its birth, and a host of any form', t => {
   const decode = (path: Path, value: unknown) =>
-    decodeBackendEntry(KEY, withValue(ENTRY, path, value), FACTS);
+    decodeUpstreamEntry(KEY, withValue(ENTRY, path, value), FACTS);
   t.is(decode(['born'], 5).bornMillis, 5);
   t.is(decode(['born'], undefined).bornMillis, undefined);
   t.is(decode(['address'], 'host-1.example:80').node.address, 'host-1.example');
@@ -171,7 +171,7 @@
 test('an id that no header can carry is refused', t => {
   const text = JSON.stringify(ENTRY);
   for (const id of ['', 'a b', 'a\r\nx: y', 'é', 'a/b']) {
-    t.throws(() => decodeBackendEntry(`servers/${id}`, text, FACTS), {
+    t.throws(() => decodeUpstreamEntry(`servers/${id}`, text, FACTS), {
       message: /'key'/,
     });
   }
@@ -211,7 +211,10 @@
   );
 }
 
-const documents = createDocuments({address: '127.0.0.1', port: 1}, FACTS);
+const documents = createPublishedDocuments(
+  {address: '127.0.0.1', port: 1},
+  FACTS,
+);
 
 /** The seed found a time that is finite in seconds and not in milliseconds. */
 const PROPERTY_RUN = {numRuns: 2000, seed: 301_683_169};
--- a/test/unit/process/admission/call_trees.test.ts
+++ b/test/unit/process/admission/call_trees.test.ts
@@ -14,14 +14,14 @@
 
 test('a tree follows what requests of the route reach', t => {
   const trees = createCallTrees();
-  t.is(trees.countsOf('route').size, 0);
+  t.is(trees.callCountsOf('route').size, 0);
   trees.observe('route', new Map([['catalogue', 4]]));
-  t.is(trees.countsOf('route').get('catalogue'), 4);
+  t.is(trees.callCountsOf('route').get('catalogue'), 4);
   for (let index = 0; index < 200; index += 1) {
     trees.observe('route', new Map([['tileyard', 2]]));
   }
-  t.is(trees.countsOf('route').get('catalogue'), undefined);
-  t.true(Math.abs(trees.countsOf('route').get('tileyard')! - 2) < 0.01);
+  t.is(trees.callCountsOf('route').get('catalogue'), undefined);
+  t.true(Math.abs(trees.callCountsOf('route').get('tileyard')! - 2) < 0.01);
 });
 
 test('a tree is learned from requests that failed until one succeeds', t => {
@@ -37,12 +37,12 @@
       ['catalogue', 2],
     ]),
   );
-  t.is(trees.countsOf('route').get('desk'), 1);
-  t.is(trees.countsOf('route').get('catalogue'), 2);
+  t.is(trees.callCountsOf('route').get('desk'), 1);
+  t.is(trees.callCountsOf('route').get('catalogue'), 2);
   trees.observe('route', new Map([['catalogue', 4]]));
-  t.deepEqual([...trees.countsOf('route')], [['catalogue', 4]]);
+  t.deepEqual([...trees.callCountsOf('route')], [['catalogue', 4]]);
   trees.observeFailed('route', new Map([['other', 1]]));
-  t.is(trees.countsOf('route').get('other'), undefined);
+  t.is(trees.callCountsOf('route').get('other'), undefined);
 });
 
 test('a call belongs to the request that its id is derived from', t => {
--- a/test/unit/process/admission/entry_gate.test.ts
+++ b/test/unit/process/admission/entry_admission.test.ts
@@ -1,15 +1,15 @@
 import test from 'ava';
-import {createEntryGate} from '../../../../src/process/admission/entry_gate.js';
+import {createEntryAdmission} from '../../../../src/process/admission/entry_admission.js';
 import {LEAST_IMPORTANT} from '../../../../src/process/admission/importance.js';
-import {createLoadBoard} from '../../../../src/process/admission/load_board.js';
+import {createLoadTable} from '../../../../src/process/admission/load_table.js';
 
 const REQUEST = {importance: 3, attemptId: 'a'};
 
 function createFixture() {
   const now = 1000;
-  const board = createLoadBoard(() => now);
+  const board = createLoadTable(() => now);
   const absent = new Set<string>();
-  const gate = createEntryGate(board, service => !absent.has(service));
+  const gate = createEntryAdmission(board, service => !absent.has(service));
   return {
     absent,
     gate,
--- a/test/unit/process/admission/load_questions.test.ts
+++ b/test/unit/process/admission/load_poller.test.ts
@@ -1,18 +1,18 @@
 import test from 'ava';
 import {LEAST_IMPORTANT} from '../../../../src/process/admission/importance.js';
-import {createLoadBoard} from '../../../../src/process/admission/load_board.js';
-import {createLoadQuestions} from '../../../../src/process/admission/load_questions.js';
+import {createLoadTable} from '../../../../src/process/admission/load_table.js';
+import {createLoadPoller} from '../../../../src/process/admission/load_poller.js';
 
 function createFixture() {
   let now = 0;
-  const board = createLoadBoard(() => now);
-  const questions = createLoadQuestions({
-    board,
+  const loadTable = createLoadTable(() => now);
+  const questions = createLoadPoller({
+    loadTable,
     ownUpstreamId: () => 'own',
     nowMillis: () => now,
   });
   const report = (upstreamId: string, level: number): void => {
-    board.observe({
+    loadTable.observe({
       upstreamId,
       service: 'catalogue',
       inFlightCount: 1,
@@ -24,7 +24,7 @@
     });
   };
   return {
-    board,
+    loadTable,
     questions,
     report,
     advance: (millis: number) => {
@@ -40,35 +40,35 @@
   // Cause: loads came with answers only.
   const {questions, report, advance} = createFixture();
   report('other', 40);
-  questions.noteShed('catalogue');
-  t.deepEqual(questions.due(), []);
+  questions.recordShed('catalogue');
+  t.deepEqual(questions.dueServices(), []);
   advance(400);
   report('own', 40);
-  t.deepEqual(questions.due(), ['catalogue']);
-  t.deepEqual(questions.due(), []);
+  t.deepEqual(questions.dueServices(), ['catalogue']);
+  t.deepEqual(questions.dueServices(), []);
   advance(400);
-  t.deepEqual(questions.due(), ['catalogue']);
+  t.deepEqual(questions.dueServices(), ['catalogue']);
   report('other', 40);
   advance(300);
-  t.deepEqual(questions.due(), []);
+  t.deepEqual(questions.dueServices(), []);
 });
 
 test('nobody asks who has turned nothing away for a second', t => {
   const {questions, advance} = createFixture();
-  t.deepEqual(questions.due(), []);
-  questions.noteShed('catalogue');
+  t.deepEqual(questions.dueServices(), []);
+  questions.recordShed('catalogue');
   advance(1001);
-  t.deepEqual(questions.due(), []);
+  t.deepEqual(questions.dueServices(), []);
 });
 
 test('upstreams not heard of lately do not raise the level of those that are', t => {
   // Symptom: as above, at a node that hears one of four upstreams. Cause: the
   // levels of the other three were let go with age, and theirs was the median.
-  const {board, report, advance} = createFixture();
+  const {loadTable, report, advance} = createFixture();
   for (const id of ['a', 'b', 'c', 'd']) report(id, 10);
   advance(2500);
   report('a', 10);
-  t.is(board.levelOf('catalogue'), 10);
+  t.is(loadTable.levelOf('catalogue'), 10);
   advance(3100);
-  t.is(board.levelOf('catalogue'), LEAST_IMPORTANT);
+  t.is(loadTable.levelOf('catalogue'), LEAST_IMPORTANT);
 });
--- a/test/unit/process/admission/load_board.test.ts
+++ b/test/unit/process/admission/load_table.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
-import type {LoadReport} from '../../../../src/process/admission/load_board.js';
-import {createLoadBoard} from '../../../../src/process/admission/load_board.js';
-import {createEntryGate} from '../../../../src/process/admission/entry_gate.js';
+import type {LoadReport} from '../../../../src/process/admission/load_table.js';
+import {createLoadTable} from '../../../../src/process/admission/load_table.js';
+import {createEntryAdmission} from '../../../../src/process/admission/entry_admission.js';
 import {
   importanceOf,
   LEAST_IMPORTANT,
-  spreadOf,
+  uniformHashOf,
 } from '../../../../src/process/admission/importance.js';
 
 function report(fields: Partial<LoadReport> = {}): LoadReport {
@@ -23,7 +23,7 @@
 }
 
 test('an older report never replaces a newer one', t => {
-  const board = createLoadBoard(() => 10);
+  const board = createLoadTable(() => 10);
   board.observe(report({level: 5, madeAtMillis: 10}));
   board.observe(report({level: 500, madeAtMillis: 9}));
   t.is(board.find('u-1')?.level, 5);
@@ -33,9 +33,9 @@
   // Symptom: requests are turned away for an upstream that is idle. Sequence: it
   // shed, starts again under its id, and another node passes the old report on.
   let now = 100;
-  const board = createLoadBoard(() => now);
+  const board = createLoadTable(() => now);
   board.observe(report({level: 0, madeAtMillis: 90}));
-  board.forget('u-1');
+  board.discardReports('u-1');
   board.observe(report({level: 0, madeAtMillis: 95}));
   t.is(board.find('u-1'), undefined);
   now = 101;
@@ -46,7 +46,7 @@
 test('a service has the level that half of what it can do has', t => {
   // A fast upstream that sheds counts for more than slow ones that do not.
   let now = 0;
-  const board = createLoadBoard(() => now);
+  const board = createLoadTable(() => now);
   board.observe(report({upstreamId: 'fast', averageMillis: 10, level: 50}));
   board.observe(report({upstreamId: 'slow', averageMillis: 30, level: 500}));
   t.is(board.levelOf('catalogue'), 50);
@@ -57,14 +57,14 @@
 });
 
 test('an upstream that is out of reach has no say', t => {
-  const board = createLoadBoard(() => 0);
+  const board = createLoadTable(() => 0);
   board.observe(report({upstreamId: 'gone', limitCount: 0, level: 3}));
   t.is(board.levelOf('catalogue'), LEAST_IMPORTANT);
   t.is(board.serviceLoadOf('catalogue'), undefined);
 });
 
 test('the load of a service is that of all its upstreams together', t => {
-  const board = createLoadBoard(() => 0);
+  const board = createLoadTable(() => 0);
   board.observe(report({upstreamId: 'a', inFlightCount: 10, queuedCount: 20}));
   board.observe(report({upstreamId: 'b', inFlightCount: 5, queuedCount: 0}));
   t.like(board.serviceLoadOf('catalogue'), {
@@ -78,7 +78,7 @@
   // Symptom: the upstreams of a service take different levels, and the fast one
   // keeps out what the slow ones have room for. Cause: the node beside each
   // knew of those that shed only, and took its own queue for that of all.
-  const board = createLoadBoard(() => 0);
+  const board = createLoadTable(() => 0);
   board.observe(report({upstreamId: 'sheds', level: 9}));
   board.observe(report({upstreamId: 'takes'}));
   board.observe(report({upstreamId: 'other', service: 'calm'}));
@@ -90,7 +90,7 @@
   // Symptom: a route stays shut long after its service is well. Nothing of it
   // is let in, so no answer brings a newer report. Cause: reports without age.
   let now = 0;
-  const board = createLoadBoard(() => now);
+  const board = createLoadTable(() => now);
   board.observe(report({level: 0}));
   t.is(board.levelOf('catalogue'), 0);
   now = 3100;
@@ -98,9 +98,9 @@
 });
 
 test('the gate turns away what a deeper service sheds, and only that', t => {
-  const board = createLoadBoard(() => 0);
+  const board = createLoadTable(() => 0);
   board.observe(report({level: importanceOf(1, 'any')}));
-  const gate = createEntryGate(board, () => true);
+  const gate = createEntryAdmission(board, () => true);
   const tree = new Map([['catalogue', 4]]);
   const low = {importance: 3 * 64, attemptId: 'a'};
   t.is(gate.shedCause(low, 'atlas', tree)?.service, 'catalogue');
@@ -114,7 +114,7 @@
     (index * 2_654_435_761).toString(16),
   );
   const low = ids.filter(id => importanceOf(0, id) < 32).length;
-  const near = ids.filter(id => spreadOf(id) < 0.5).length;
+  const near = ids.filter(id => uniformHashOf(id) < 0.5).length;
   t.true(Math.abs(low - 3200) < 250);
   t.true(Math.abs(near - 3200) < 250);
 });
--- a/test/unit/process/log/node_metrics.test.ts
+++ b/test/unit/process/log/node_metrics.test.ts
@@ -4,9 +4,9 @@
 test('answers are told by route and status, each bound with all below it', async t => {
   const metrics = createNodeMetrics();
   for (const millis of [5, 5.1, 60, 9000]) {
-    metrics.recordAnswer('browse', 200, millis);
+    metrics.recordResponse('browse', 200, millis);
   }
-  metrics.recordAnswer('say "x"', 503, 1);
+  metrics.recordResponse('say "x"', 503, 1);
   metrics.recordEntered(true);
   metrics.recordEntered(false);
   metrics.recordEntered(false);
--- a/test/unit/process/membership/configuration_holder.test.ts
+++ b/test/unit/process/membership/configuration_holder.test.ts
@@ -7,9 +7,9 @@
   // answered late brought an older version. Cause: the last answer won.
   const holder = createConfigurationHolder();
   t.is(holder.current(), undefined);
-  t.is(holder.offer(routeTable({version: 7})), 'accepted');
-  t.is(holder.offer(routeTable({version: 6})), 'not-newer');
-  t.is(holder.offer(routeTable({version: 7})), 'not-newer');
+  t.is(holder.update(routeTable({version: 7})), 'accepted');
+  t.is(holder.update(routeTable({version: 6})), 'not-newer');
+  t.is(holder.update(routeTable({version: 7})), 'not-newer');
   t.is(holder.current()?.version, 7);
-  t.is(holder.offer(routeTable({version: 16})), 'accepted');
+  t.is(holder.update(routeTable({version: 16})), 'accepted');
 });
--- a/test/unit/process/membership/follow_pace.test.ts
+++ b/test/unit/process/membership/follower_pacing.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {createFollowPace} from '../../../../src/process/membership/follow_pace.js';
+import {createFollowerPacing} from '../../../../src/process/membership/follower_pacing.js';
 import {createSeededRandom} from '../../../fakes/seeded_random.js';
 
 const NODES_COUNT = 12;
@@ -11,9 +11,9 @@
 function askTimes(): readonly {firstMillis: number; secondMillis: number}[] {
   const random = createSeededRandom(1);
   return Array.from({length: NODES_COUNT}, () => {
-    const pace = createFollowPace({applyWithinMillis: 2000, random});
-    const firstMillis = pace.gatherMillis();
-    return {firstMillis, secondMillis: firstMillis + pace.watchWaitMillis()};
+    const pace = createFollowerPacing({applyWithinMillis: 2000, random});
+    const firstMillis = pace.batchDelayMillis();
+    return {firstMillis, secondMillis: firstMillis + pace.watchTimeoutMillis()};
   });
 }
 
--- a/test/unit/process/membership/reply_bound.test.ts
+++ b/test/unit/process/membership/reply_timeout.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import {createReplyBound} from '../../../../src/process/membership/reply_bound.js';
+import {createReplyTimeout} from '../../../../src/process/membership/reply_timeout.js';
 
 /** Bound after nodes have replied within times from `low` to `high`. */
 function boundAfter(low: number, high: number): number {
-  const bound = createReplyBound();
+  const bound = createReplyTimeout();
   for (let index = 0; index < 200; index += 1) {
     bound.observe(index % 2 === 0 ? low : high);
   }
@@ -25,7 +25,7 @@
 });
 
 test('a few replies tell nothing yet', t => {
-  const bound = createReplyBound();
+  const bound = createReplyTimeout();
   for (let index = 0; index < 7; index += 1) bound.observe(1);
   t.is(bound.currentMillis(), 400);
 });
--- a/test/unit/process/membership/upstream_directory.test.ts
+++ b/test/unit/process/membership/upstream_directory.test.ts
@@ -19,7 +19,7 @@
     lose: (millis: number) => {
       directory.markSourceLost();
       now += millis;
-      directory.markSourceRegained();
+      directory.markSourceRecovered();
     },
   };
 }
@@ -27,16 +27,16 @@
 test('a draining upstream takes no new work', t => {
   const {directory, changes} = createFixture();
   directory.put([upstreamEntry()]);
-  t.is(directory.ready('orders').length, 1);
+  t.is(directory.listReady('orders').length, 1);
   directory.put([upstreamEntry({isDraining: true})]);
-  t.is(directory.ready('orders').length, 0);
+  t.is(directory.listReady('orders').length, 0);
   t.deepEqual(changes, ['joined u-1', 'draining u-1']);
 });
 
 test('an upstream that is missing from all of now has left', t => {
   const {directory} = createFixture();
   directory.put([upstreamEntry(), upstreamEntry({id: 'u-2'})]);
-  directory.replace([upstreamEntry({id: 'u-2'})]);
+  directory.replaceAll([upstreamEntry({id: 'u-2'})]);
   t.true(directory.hasLeft('u-1'));
   t.is(directory.find('u-1'), undefined);
   t.is(directory.count(), 1);
@@ -50,13 +50,13 @@
   const {directory, changes, advance, lose} = createFixture();
   directory.put([upstreamEntry(), upstreamEntry({id: 'u-2'})]);
   lose(1001);
-  directory.replace([]);
-  t.is(directory.ready('orders').length, 2);
+  directory.replaceAll([]);
+  t.is(directory.listReady('orders').length, 2);
   directory.put([upstreamEntry()]);
   advance(2001);
-  directory.expire();
+  directory.removeExpired();
   t.deepEqual(
-    directory.ready('orders').map(upstream => upstream.entry.id),
+    directory.listReady('orders').map(upstream => upstream.entry.id),
     ['u-1'],
   );
   t.true(changes.includes('left u-2'));
@@ -71,13 +71,13 @@
   lose(1001);
   advance(9);
   directory.remove(['u-1']);
-  t.is(directory.ready('orders').length, 1);
+  t.is(directory.listReady('orders').length, 1);
   // Looks at what has aged are half a second apart.
   for (let look = 1; look <= 3; look += 1) {
     advance(490);
-    directory.expire();
+    directory.removeExpired();
   }
-  t.is(directory.ready('orders').length, 0);
+  t.is(directory.listReady('orders').length, 0);
   t.true(directory.hasLeft('u-1'));
 });
 
@@ -85,20 +85,20 @@
   const {directory, advance, lose} = createFixture();
   directory.put([upstreamEntry(), upstreamEntry({id: 'u-2'})]);
   lose(1001);
-  directory.replace([]);
+  directory.replaceAll([]);
   advance(1000);
   directory.markSourceLost();
   advance(3000);
-  directory.expire();
-  t.is(directory.ready('orders').length, 2);
-  directory.markSourceRegained();
-  directory.replace([]);
+  directory.removeExpired();
+  t.is(directory.listReady('orders').length, 2);
+  directory.markSourceRecovered();
+  directory.replaceAll([]);
   advance(999);
-  directory.expire();
-  t.is(directory.ready('orders').length, 2);
+  directory.removeExpired();
+  t.is(directory.listReady('orders').length, 2);
   advance(1);
-  directory.expire();
-  t.is(directory.ready('orders').length, 0);
+  directory.removeExpired();
+  t.is(directory.listReady('orders').length, 0);
 });
 
 test('whose removal was told goes while the source is away again', t => {
@@ -108,8 +108,8 @@
   directory.remove(['u-1']);
   directory.markSourceLost();
   advance(1400);
-  directory.expire();
-  t.is(directory.ready('orders').length, 0);
+  directory.removeExpired();
+  t.is(directory.listReady('orders').length, 0);
 });
 
 test('the newest upstream counts where an address was used again', t => {
@@ -117,5 +117,5 @@
   directory.put([upstreamEntry()]);
   advance(10);
   directory.put([upstreamEntry({id: 'u-9', service: 'atlas'})]);
-  t.is(directory.atHost('10.0.0.1:80')?.entry.id, 'u-9');
+  t.is(directory.findByHost('10.0.0.1:80')?.entry.id, 'u-9');
 });
--- a/test/unit/process/membership/upstream_restarts.test.ts
+++ b/test/unit/process/membership/upstream_restarts.test.ts
@@ -11,16 +11,16 @@
   const directory = createUpstreamDirectory({
     nowMillis: () => now,
     heartbeatMillis: HEARTBEAT_MILLIS,
-    isServiceNamed: service => named.has(service),
+    isServiceConfigured: service => named.has(service),
     onChange: change => changes.push(`${change.kind} ${change.entry.id}`),
   });
   return {
     directory,
     changes,
-    readyIds: () => directory.ready('orders').map(({entry}) => entry.id),
+    readyIds: () => directory.listReady('orders').map(({entry}) => entry.id),
     advance: (millis: number) => {
       now += millis;
-      directory.expire();
+      directory.removeExpired();
     },
     name: (...services: readonly string[]) => {
       named = new Set(services);
@@ -98,7 +98,7 @@
   const {directory, readyIds, advance} = createFixture();
   directory.put([bornAt(1, 1)]);
   for (let beat = 1; beat <= 3; beat += 1) {
-    directory.contest(['u-1', 'u-9']);
+    directory.markContested(['u-1', 'u-9']);
     t.deepEqual(readyIds(), ['u-1']);
     advance(HEARTBEAT_MILLIS);
   }
@@ -110,7 +110,7 @@
 test('an overwritten entry is not one that is missing, and a removal holds', t => {
   const {directory, readyIds} = createFixture();
   directory.put([bornAt(1, 1)]);
-  directory.replace([], ['u-1']);
+  directory.replaceAll([], ['u-1']);
   t.deepEqual(readyIds(), ['u-1']);
   directory.remove(['u-1']);
   t.deepEqual(readyIds(), []);
@@ -128,10 +128,10 @@
   directory.put([bornAt(1, 1)]);
   directory.put([bornAt(2, 1, {id: 'x-1', service: 'later'})]);
   t.deepEqual(readyIds(), ['u-1']);
-  t.is(directory.atHost('10.0.0.1:80')?.entry.id, 'u-1');
+  t.is(directory.findByHost('10.0.0.1:80')?.entry.id, 'u-1');
   t.deepEqual(changes, ['joined u-1', 'joined x-1', 'unnamed x-1']);
   name('orders', 'later');
-  t.is(directory.ready('later').length, 1);
+  t.is(directory.listReady('later').length, 1);
 });
 
 test('of two entries at one host only the later start gets work', t => {
@@ -141,21 +141,21 @@
   // heartbeats. Cause: both counted as ready, and each choice of an ended one
   // cost an attempt. Births tell which one is alive.
   const {directory, changes, readyIds} = createFixture();
-  directory.replace([
+  directory.replaceAll([
     bornAt(7, 1, {id: 'new'}),
     bornAt(3, 90, {id: 'old', service: 'atlas'}),
     bornAt(2, 1, {id: 'other', hostKey: '10.0.0.2:80'}),
   ]);
   t.deepEqual(readyIds(), ['new', 'other']);
-  t.deepEqual(directory.ready('atlas'), []);
+  t.deepEqual(directory.listReady('atlas'), []);
   t.true(directory.hasLeft('old'));
-  t.is(directory.atHost('10.0.0.1:80')?.entry.id, 'new');
+  t.is(directory.findByHost('10.0.0.1:80')?.entry.id, 'new');
   t.true(changes.includes('superseded old'));
 });
 
 test('without births the start seen later is the one that is alive', t => {
   const {directory, readyIds, advance} = createFixture();
-  directory.replace([upstreamEntry({id: 'a'}), upstreamEntry({id: 'b'})]);
+  directory.replaceAll([upstreamEntry({id: 'a'}), upstreamEntry({id: 'b'})]);
   t.deepEqual(readyIds(), ['a', 'b']);
   advance(1);
   directory.put([upstreamEntry({id: 'c'})]);
@@ -173,7 +173,7 @@
   directory.put([bornAt(1, 40)]);
   directory.put([bornAt(2, 1)]);
   directory.markSourceRestored();
-  directory.replace([bornAt(1, 40)]);
+  directory.replaceAll([bornAt(1, 40)]);
   advance(2001);
   t.is(directory.find('u-1'), undefined);
   advance(HEARTBEAT_MILLIS * 3);
--- a/test/unit/process/placement/placement.test.ts
+++ b/test/unit/process/placement/placement.test.ts
@@ -7,13 +7,13 @@
 
 function createFixture(random = () => 0.5) {
   const node = createPlacementNode(random);
-  const {board, directory, chooser, nowMillis, advance} = node;
+  const {loadTable, directory, chooser, nowMillis, advance} = node;
   const add = (id: string, zone: string, averageMillis: number): void => {
     directory.put([upstreamEntry({id, zone, hostKey: `10.1.0.${id}:80`})]);
     observe(id, averageMillis, 0);
   };
   const observe = (id: string, averageMillis: number, busy: number): void => {
-    board.observe({
+    loadTable.observe({
       upstreamId: id,
       service: 'orders',
       inFlightCount: busy,
@@ -36,7 +36,7 @@
     return counts;
   };
   return {
-    board,
+    loadTable,
     directory,
     chooser,
     add,
@@ -131,7 +131,7 @@
   // Symptom: an upstream that is well again stands idle while others are full.
   // Sequence: its start before failed, was left alone and held requests; it is
   // there again under the same id. Cause: what was learned is kept by the id.
-  const {directory, board, chooser, add} = createFixture();
+  const {directory, loadTable, chooser, add} = createFixture();
   add('2', 'zone-a', 20);
   const put = (bornMillis: number): void => {
     directory.put([
@@ -146,9 +146,9 @@
   const held = Array.from({length: 40}, () => chooser.choose('orders', others));
   chooser.choose('orders', others)?.end('unreachable');
   t.is(chooser.choose('orders', NO_IDS)?.upstream.entry.id, '2');
-  board.forget('1');
+  loadTable.discardReports('1');
   put(2);
-  board.observe({
+  loadTable.observe({
     upstreamId: '1',
     service: 'orders',
     inFlightCount: 0,
@@ -174,14 +174,14 @@
   add('1', 'zone-a', 20);
   add('2', 'zone-a', 20);
   const first = new Set(['1']);
-  t.true(chooser.hasOther('orders', first));
+  t.true(chooser.hasAlternative('orders', first));
   chooser.choose('orders', first)?.end('unreachable');
-  t.false(chooser.hasOther('orders', first));
+  t.false(chooser.hasAlternative('orders', first));
   // Left alone no longer, and still not known to be back.
   advance(1300);
-  t.false(chooser.hasOther('orders', first));
+  t.false(chooser.hasAlternative('orders', first));
   chooser.choose('orders', first)?.end('served');
-  t.true(chooser.hasOther('orders', first));
+  t.true(chooser.hasAlternative('orders', first));
 });
 
 test('an upstream that cannot be reached is no other one to turn to', t => {
@@ -193,12 +193,12 @@
   add('2', 'zone-a', 20);
   const tried = new Set(['1']);
   const isNoneLost = (): boolean => false;
-  t.true(chooser.hasOther('orders', tried, isNoneLost));
-  t.false(chooser.hasOther('orders', tried, entry => entry.id === '2'));
+  t.true(chooser.hasAlternative('orders', tried, isNoneLost));
+  t.false(chooser.hasAlternative('orders', tried, entry => entry.id === '2'));
   chooser.choose('orders', tried)?.end('unreachable');
-  t.false(chooser.hasOther('orders', tried, isNoneLost));
-  t.false(chooser.canReachOther('orders', tried, isNoneLost));
+  t.false(chooser.hasAlternative('orders', tried, isNoneLost));
+  t.false(chooser.hasReachableAlternative('orders', tried, isNoneLost));
   advance(200);
-  t.false(chooser.hasOther('orders', tried, isNoneLost));
-  t.true(chooser.canReachOther('orders', tried, isNoneLost));
+  t.false(chooser.hasAlternative('orders', tried, isNoneLost));
+  t.true(chooser.hasReachableAlternative('orders', tried, isNoneLost));
 });
--- a/test/unit/process/placement/placement_fleet.test.ts
+++ b/test/unit/process/placement/placement_fleet.test.ts
@@ -20,7 +20,7 @@
 /** One node in zone a that knows all upstreams. */
 function createNode(seed: number) {
   const node = createPlacementNode(createSeededRandom(seed));
-  const {board, directory, chooser, nowMillis, advance} = node;
+  const {loadTable, directory, chooser, nowMillis, advance} = node;
   directory.put(
     Array.from({length: UPSTREAMS_COUNT}, (_, index) =>
       upstreamEntry({
@@ -35,7 +35,7 @@
     return {index: Number(placement?.upstream.entry.id), placement};
   };
   const report = (index: number): void => {
-    board.observe({
+    loadTable.observe({
       upstreamId: String(index),
       service: 'orders',
       inFlightCount: 2,
@@ -51,7 +51,7 @@
     Array.from({length: seconds * CHOICES_PER_SECOND}, () => {
       advance(1000 / CHOICES_PER_SECOND);
       const {index, placement} = choose();
-      board.expire();
+      loadTable.expire();
       if (index === silentIndex) return index;
       placement?.end('served');
       report(index);
--- a/test/unit/process/placement/relative_slowness.test.ts
+++ b/test/unit/process/placement/relative_slowness.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {createLoadBoard} from '../../../../src/process/admission/load_board.js';
+import {createLoadTable} from '../../../../src/process/admission/load_table.js';
 import {createPlacementChooser} from '../../../../src/process/placement/placement.js';
 import {createRelativeSlowness} from '../../../../src/process/placement/relative_slowness.js';
 import {createUpstreamDirectory} from '../../../../src/process/membership/upstream_directory.js';
@@ -26,7 +26,7 @@
     nowMillis: () => 1000,
     onChange: () => undefined,
   });
-  const board = createLoadBoard(() => 1000);
+  const loadTable = createLoadTable(() => 1000);
   for (const [id, averageMillis, inFlightCount] of [
     ['idle', LONG_MILLIS / 2, 1],
     ['full', SHORT_MILLIS, 17],
@@ -34,7 +34,7 @@
     directory.put([
       upstreamEntry({id, hostKey: `${id}:1`, slotsCount: 18, zone: 'zone-b'}),
     ]);
-    board.observe({
+    loadTable.observe({
       upstreamId: id,
       service: 'orders',
       inFlightCount,
@@ -48,7 +48,7 @@
   }
   const chooser = createPlacementChooser({
     directory,
-    board,
+    loadTable,
     hostKey: 'here',
     zone: 'zone-a',
     region: 'region',
--- a/test/unit/process/placement/zone_preference.test.ts
+++ b/test/unit/process/placement/zone_preference.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
-import {nearAllowanceMillis} from '../../../../src/process/placement/zone_preference.js';
+import {sameZoneAllowanceMillis} from '../../../../src/process/placement/zone_preference.js';
 
 test('what has time stays near, what is pressed goes where it is in time', t => {
   // A read of 1.5 s that takes 0.25 s next door, and an order of 0.3 s that
   // takes 0.18 s there.
   t.is(
-    nearAllowanceMillis({
+    sameZoneAllowanceMillis({
       objectiveMillis: 1500,
       expectedMillis: 250,
       busyRatio: 0,
@@ -13,7 +13,7 @@
     150,
   );
   t.is(
-    nearAllowanceMillis({
+    sameZoneAllowanceMillis({
       objectiveMillis: 300,
       expectedMillis: 180,
       busyRatio: 0,
@@ -24,7 +24,7 @@
 
 test('an upstream whose slots are taken is no nearer than another', t => {
   const at = (busyRatio: number): number =>
-    nearAllowanceMillis({
+    sameZoneAllowanceMillis({
       objectiveMillis: 1500,
       expectedMillis: 250,
       busyRatio,
--- a/test/unit/process/quarantine/crash_evidence.test.ts
+++ b/test/unit/process/quarantine/crash_evidence.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
-import type {CrashFields} from '../../../../src/protocol/crash_fields.js';
+import type {CrashFields} from '../../../../src/protocol/crash_messages.js';
 import type {
   CrashEvidence,
   CrashSuspect,
 } from '../../../../src/process/quarantine/crash_evidence.js';
 import {
   createCrashEvidence,
-  MAX_SIGHTINGS_COUNT,
+  MAX_CRASH_FINGERPRINT_PAIRS_COUNT,
   RETENTION_MILLIS,
 } from '../../../../src/process/quarantine/crash_evidence.js';
 
@@ -119,7 +119,7 @@
   const {evidence, released, advance} = createFixture();
   evidence.add([crash(1, 'culprit'), crash(2, 'culprit'), crash(3, 'culprit')]);
   const perCrashCount = 100;
-  const floodCount = (2 * MAX_SIGHTINGS_COUNT) / perCrashCount;
+  const floodCount = (2 * MAX_CRASH_FINGERPRINT_PAIRS_COUNT) / perCrashCount;
   for (let index = 0; index < floodCount; index += 1) {
     advance(1);
     const fingerprints = Array.from(
@@ -130,5 +130,5 @@
   }
   t.true(evidence.isQuarantined(['culprit']));
   t.deepEqual(released, []);
-  t.true(evidence.suspects().length <= MAX_SIGHTINGS_COUNT);
+  t.true(evidence.suspects().length <= MAX_CRASH_FINGERPRINT_PAIRS_COUNT);
 });
--- a/test/unit/process/quarantine/turn_queue.test.ts
+++ b/test/unit/process/quarantine/semaphore.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import {createCancelSource} from '../../../../src/base/cancel_signal.js';
-import {createTurnQueue} from '../../../../src/process/quarantine/turn_queue.js';
+import {createSemaphore} from '../../../../src/process/quarantine/semaphore.js';
 
 const LONG_MILLIS = 60_000;
 
@@ -10,14 +10,14 @@
 }
 
 test('turns are given in order, and released to the next', async t => {
-  const turns = createTurnQueue(1);
+  const turns = createSemaphore(1);
   const {wait} = waitOf(LONG_MILLIS);
-  t.true(turns.take(wait) === true);
+  t.true(turns.acquire(wait) === true);
   const order: string[] = [];
-  const second = Promise.resolve(turns.take(wait)).then(() => {
+  const second = Promise.resolve(turns.acquire(wait)).then(() => {
     order.push('second');
   });
-  const third = Promise.resolve(turns.take(wait)).then(() => {
+  const third = Promise.resolve(turns.acquire(wait)).then(() => {
     order.push('third');
   });
   turns.release();
@@ -26,18 +26,18 @@
   turns.release();
   await third;
   turns.release();
-  t.true(turns.take(wait) === true);
+  t.true(turns.acquire(wait) === true);
 });
 
 test('a wait that is cancelled or too long takes no turn', async t => {
-  const turns = createTurnQueue(1);
+  const turns = createSemaphore(1);
   const {wait} = waitOf(LONG_MILLIS);
-  void turns.take(wait);
+  void turns.acquire(wait);
   const left = waitOf(LONG_MILLIS);
-  const leaving = turns.take(left.wait);
+  const leaving = turns.acquire(left.wait);
   left.cancel();
   t.false(await leaving);
-  t.false(await turns.take(waitOf(0).wait));
+  t.false(await turns.acquire(waitOf(0).wait));
   turns.release();
-  t.true(turns.take(wait) === true);
+  t.true(turns.acquire(wait) === true);
 });
--- a/test/unit/process/quota/coordinator_choice.test.ts
+++ b/test/unit/process/quota/coordinator_chooser.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import {createCoordinatorChoice} from '../../../../src/process/quota/coordinator_choice.js';
-import type {ZonedHost} from '../../../../src/process/quota/zone_reach.js';
-import {createZoneReach} from '../../../../src/process/quota/zone_reach.js';
+import {createCoordinatorChooser} from '../../../../src/process/quota/coordinator_chooser.js';
+import type {ZonedHost} from '../../../../src/process/quota/zone_reachability.js';
+import {createZoneReachability} from '../../../../src/process/quota/zone_reachability.js';
 
 const HOSTS: readonly ZonedHost[] = Array.from({length: 12}, (_, index) => ({
   hostKey: `host-${String(index)}`,
@@ -15,15 +15,15 @@
 
 function createChoice(ownHostKey: string, hosts = HOSTS) {
   const nowMillis = () => 0;
-  const reach = createZoneReach(nowMillis);
-  const choice = createCoordinatorChoice({
+  const reachability = createZoneReachability(nowMillis);
+  const choice = createCoordinatorChooser({
     hosts: () => hosts,
     ownHostKey,
-    reach,
+    reachability,
     nowMillis,
     random: () => 0.5,
   });
-  return {choice, reach};
+  return {choice, reachability};
 }
 
 function chosenBy(ownHostKey: string, hosts = HOSTS): readonly string[] {
@@ -52,20 +52,20 @@
 });
 
 test('nodes of a zone that is cut off are passed over, and left out of what is reached', t => {
-  const {choice, reach} = createChoice('host-0');
+  const {choice, reachability} = createChoice('host-0');
   t.is(choice.reachableRatio(), 1);
-  for (const index of [1, 4]) reach.noteSilent(HOSTS[index]!);
-  t.true(reach.isCutOff('zone-1'));
+  for (const index of [1, 4]) reachability.recordTimeout(HOSTS[index]!);
+  t.true(reachability.isPartitioned('zone-1'));
   t.is(choice.reachableRatio(), 8 / 12);
   for (const name of ORGANISATIONS) {
     t.not(choice.choose(name)?.zone, 'zone-1');
   }
-  t.is(choice.witnesses('zone-1').length, 2);
+  t.is(choice.probeTargets('zone-1').length, 2);
 });
 
 test('a node alone is its own coordinator', t => {
-  const {choice, reach} = createChoice('host-0');
-  for (const host of HOSTS.slice(1)) reach.noteSilent(host);
+  const {choice, reachability} = createChoice('host-0');
+  for (const host of HOSTS.slice(1)) reachability.recordTimeout(host);
   t.is(choice.choose('org1')?.hostKey, 'host-0');
   t.is(choice.reachableRatio(), 1 / 12);
 });
--- a/test/unit/process/quota/quota_gate.test.ts
+++ b/test/unit/process/quota/quota_limiter.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type {QuotaAllowance} from '../../../../src/protocol/quota_messages.js';
-import {createQuotaGate} from '../../../../src/process/quota/quota_gate.js';
+import {createQuotaLimiter} from '../../../../src/process/quota/quota_limiter.js';
 import type {Organisation} from '../../../../src/version/organisation.js';
 
 const LARGE: Organisation = {
@@ -34,7 +34,7 @@
 
 function createGate(nodesCount = 100) {
   let now = 0;
-  const gate = createQuotaGate({
+  const gate = createQuotaLimiter({
     bound: () => ({windowMillis: 5000, overageRatio: 0.25, slackCount: 20}),
     nodesCount: () => nodesCount,
     nowMillis: () => now,
@@ -66,12 +66,12 @@
     gate.check(LARGE, 0);
     gate.recordRan(LARGE);
   }
-  gate.takeBack(LARGE);
-  gate.takeBack(LARGE);
+  gate.recordNotRun(LARGE);
+  gate.recordNotRun(LARGE);
   const [use] = gate.takeUses(ALL);
   t.like(use, {ranCount: 3, unconfirmedCount: 3});
   gate.confirm([use!], [allowance('acme', [])]);
-  gate.takeBack(LARGE);
+  gate.recordNotRun(LARGE);
   t.like(gate.takeUses(ALL)[0], {ranCount: 2, unconfirmedCount: -1});
 });
 
@@ -107,7 +107,7 @@
   );
   pass(5000);
   t.is(gate.check(SMALL, 0).kind, 'unknown');
-  t.is(gate.checkUnanswered(SMALL, 0).kind, 'over-quota');
+  t.is(gate.checkWithoutCoordinator(SMALL, 0).kind, 'over-quota');
   t.is(gate.limited().length, 1);
 });
 
--- a/test/unit/process/repeats/attempt_history.test.ts
+++ b/test/unit/process/repeats/attempt_history.test.ts
@@ -5,10 +5,10 @@
   // Load: two upstreams that reject half of what they are handed.
   const history = createAttemptHistory();
   let offersCount = 0;
-  while (history.mayOffer) {
+  while (history.canOffer) {
     const id = ['a', 'b'].find(each => !history.excludedIds.has(each));
     if (id === undefined) {
-      t.true(history.readmitRejecting());
+      t.true(history.readmitRejectingUpstreams());
       continue;
     }
     history.begin(id);
@@ -17,7 +17,7 @@
   }
   t.is(offersCount, 8);
   t.is(history.ranCount, 0);
-  t.is(history.handedCount, 8);
+  t.is(history.deliveredCount, 8);
 });
 
 test('one that may have run it, or has no room, is not asked again', t => {
@@ -29,16 +29,16 @@
     history.begin(id);
     history.end(end);
   }
-  t.false(history.readmitRejecting());
+  t.false(history.readmitRejectingUpstreams());
   t.deepEqual([...history.excludedIds], ['a', 'b']);
 });
 
 test('a service is full after three refusals for load', t => {
   const history = createAttemptHistory();
   for (const id of ['a', 'b', 'c']) {
-    t.true(history.mayOffer);
+    t.true(history.canOffer);
     history.begin(id);
     history.end('full');
   }
-  t.false(history.mayOffer);
+  t.false(history.canOffer);
 });
--- a/test/unit/process/repeats/repeat_budget.test.ts
+++ b/test/unit/process/repeats/repeat_budget.test.ts
@@ -108,7 +108,7 @@
   const {budget, takeAll} = createFixture(1);
   for (let sent = 0; sent < 50; sent += 1) budget.recordRequest(ONE);
   const spentCount = takeAll(ONE);
-  const [use] = budget.use();
+  const [use] = budget.usage();
   t.like(use, {service: 'orders', spentCount});
   t.is(Math.floor(use!.allowedCount), spentCount);
 });
@@ -147,7 +147,7 @@
     while (now < untilMillis) {
       now += 10;
       budget.recordRequest(ONE);
-      budget.recordExpected(ONE);
+      budget.recordExpectedCalls(ONE);
       if (budget !== former) takenCount += takeAll(budget);
     }
     return takenCount;
--- a/test/unit/process/repeats/shared_retry_grant.test.ts
+++ b/test/unit/process/repeats/shared_retry_grant.test.ts
@@ -2,12 +2,12 @@
 import fc from 'fast-check';
 import type {
   RetryGrant,
-  RetryLoan,
+  DelegatedRetries,
 } from '../../../../src/process/repeats/retry_grant.js';
-import type {LendingRule} from '../../../../src/process/repeats/shared_retry_grant.js';
+import type {DelegationRule} from '../../../../src/process/repeats/shared_retry_grant.js';
 import {
   createRetryGrant,
-  lendAllButOne,
+  delegateAllButOne,
 } from '../../../../src/process/repeats/shared_retry_grant.js';
 import {createSeededRandom} from '../../../fakes/seeded_random.js';
 
@@ -20,22 +20,26 @@
   /** Chance that a host refuses, and that the answer of one that ran is lost. */
   readonly refusedRatio: number;
   readonly lostRatio: number;
-  readonly lendingRule: LendingRule;
+  readonly lendingRule: DelegationRule;
 }
 
 /** Settles a loan, honestly or with repeats and late claims. */
-type Settle = (loan: RetryLoan, unspentCount: number, isLost: boolean) => void;
+type Settle = (
+  loan: DelegatedRetries,
+  unspentCount: number,
+  isLost: boolean,
+) => void;
 
 const settleOnce: Settle = (loan, unspentCount, isLost) => {
-  if (isLost) loan.forfeit();
-  else loan.settle(unspentCount);
+  if (isLost) loan.discard();
+  else loan.reclaim(unspentCount);
 };
 
 /** Runs one request through the tree; counts the retries spent anywhere. */
 function runRequest(tree: Tree, random: () => number, settle: Settle) {
   let spentCount = 0;
 
-  function answer(loan: RetryLoan, levels: number): boolean {
+  function answer(loan: DelegatedRetries, levels: number): boolean {
     if (random() < tree.refusedRatio) {
       settle(loan, loan.count, false);
       return false;
@@ -50,7 +54,7 @@
   function retry(grant: RetryGrant, levels: number): boolean {
     while (grant.trySpend()) {
       spentCount += 1;
-      if (answer(grant.lend(), levels)) return true;
+      if (answer(grant.delegate(), levels)) return true;
     }
     return false;
   }
@@ -60,23 +64,23 @@
     const calls = Array.from({length: tree.fanOutCount}, () => undefined);
     if (tree.isParallel) {
       // All loans are out before the first comes back.
-      const loans = calls.map(() => grant.lend());
+      const loans = calls.map(() => grant.delegate());
       const results = loans.map(loan => answer(loan, levels - 1));
       return results.every(isOk => isOk || retry(grant, levels - 1));
     }
     return calls.every(
-      () => answer(grant.lend(), levels - 1) || retry(grant, levels - 1),
+      () => answer(grant.delegate(), levels - 1) || retry(grant, levels - 1),
     );
   }
 
   const grant = createRetryGrant(tree.boundCount, tree.lendingRule);
   const isServed =
-    answer(grant.lend(), tree.depth - 1) || retry(grant, tree.depth - 1);
+    answer(grant.delegate(), tree.depth - 1) || retry(grant, tree.depth - 1);
   return {isServed, spentCount};
 }
 
-const lendHalf: LendingRule = count => Math.ceil(count / 2);
-const lendAll: LendingRule = count => count;
+const lendHalf: DelegationRule = count => Math.ceil(count / 2);
+const lendAll: DelegationRule = count => count;
 
 test('retries stay within the bound over the whole tree', t => {
   // Symptom: one request causes many times the allowed retries. Answers are
@@ -84,9 +88,9 @@
   // count that is copied, or returned more than once, multiplies.
   const settleBadly: Settle = (loan, unspentCount, isLost) => {
     settleOnce(loan, unspentCount, isLost);
-    loan.settle(unspentCount);
-    loan.forfeit();
-    loan.settle(loan.count);
+    loan.reclaim(unspentCount);
+    loan.discard();
+    loan.reclaim(loan.count);
   };
   fc.assert(
     fc.property(
@@ -97,7 +101,7 @@
         boundCount: fc.nat(6),
         refusedRatio: fc.constantFrom(0, 0.1, 0.5),
         lostRatio: fc.constantFrom(0, 0.1, 0.5),
-        lendingRule: fc.constantFrom(lendAllButOne, lendHalf, lendAll),
+        lendingRule: fc.constantFrom(delegateAllButOne, lendHalf, lendAll),
       }),
       fc.integer(),
       (tree, seed) => {
@@ -126,9 +130,9 @@
     // Symptom: a request never stops retrying. A callee claims that more is
     // unspent than it was lent. Cause: the claim is added unchecked.
     const grant = createRetryGrant(4);
-    const loan = grant.lend();
+    const loan = grant.delegate();
     t.is(loan.count, 3);
-    loan.settle(claimed);
+    loan.reclaim(claimed);
     t.is(grant.remaining(), 1 + returned);
   });
 }
@@ -137,7 +141,7 @@
   test(`a grant of ${count} allows no retry`, t => {
     const grant = createRetryGrant(count);
     t.false(grant.trySpend());
-    t.is(grant.lend().count, 0);
+    t.is(grant.delegate().count, 0);
   });
 }
 
@@ -147,7 +151,7 @@
       .filter(fanOutCount => fanOutCount ** (depth - 1) <= 64)
       .map(fanOutCount => ({depth, fanOutCount})),
   );
-  const servedRatioOf = (lendingRule: LendingRule): number => {
+  const servedRatioOf = (lendingRule: DelegationRule): number => {
     const random = createSeededRandom(11);
     let servedCount = 0;
     let requestCount = 0;
@@ -167,7 +171,7 @@
     }
     return servedCount / requestCount;
   };
-  const [allButOne, half, all] = [lendAllButOne, lendHalf, lendAll].map(
+  const [allButOne, half, all] = [delegateAllButOne, lendHalf, lendAll].map(
     servedRatioOf,
   ) as [number, number, number];
   t.log(`all but one ${allButOne}, half ${half}, all ${all}`);
--- a/test/unit/process/settings/own_settings_schema.test.ts
+++ b/test/unit/process/settings/settings_file_schema.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 
-import {parseSettings} from '../../../../src/process/settings/own_settings_schema.js';
+import {parseSettings} from '../../../../src/process/settings/settings_file_schema.js';
 import {MAX_DOCUMENT_BYTES} from '../../../../src/version/json_document.js';
 import {formatProblem} from '../../../../src/version/problem.js';
 import {
--- a/test/unit/process/stop/stop_plan.test.ts
+++ b/test/unit/process/stop/stop_plan.test.ts
@@ -6,7 +6,7 @@
 test('a node that runs takes everything', t => {
   const plan = createStopPlan(() => 0);
   t.false(plan.isStopping);
-  t.true(plan.takes({isUpstreams: false}));
+  t.true(plan.accepts({isFromUpstream: false}));
 });
 
 test('a press of clients that find no other host ends with the notice', t => {
@@ -18,9 +18,9 @@
   plan.begin(GRACE_MILLIS);
   const takenMillis: number[] = [];
   for (; now < 1000 + GRACE_MILLIS; now += 10) {
-    if (plan.takes({isUpstreams: false})) takenMillis.push(now - 1000);
+    if (plan.accepts({isFromUpstream: false})) takenMillis.push(now - 1000);
     const isAnswerable = now < plan.finishingUntilMillis;
-    t.is(plan.takes({isUpstreams: true}), isAnswerable);
+    t.is(plan.accepts({isFromUpstream: true}), isAnswerable);
   }
   t.is(takenMillis[0], 0);
   t.is(takenMillis.at(-1), 2290);
@@ -30,8 +30,8 @@
 test('what was taken keeps its part of a short grace', t => {
   const plan = createStopPlan(() => 0);
   plan.begin(2000);
-  t.is(plan.takingUntilMillis, 1200);
-  t.true(plan.takingUntilMillis < plan.finishingUntilMillis);
+  t.is(plan.acceptingUntilMillis, 1200);
+  t.true(plan.acceptingUntilMillis < plan.finishingUntilMillis);
   t.true(plan.finishingUntilMillis < plan.endMillis);
   t.true(plan.endMillis < 2000);
 });
--- a/test/unit/protocol/crash_report_codec.test.ts
+++ b/test/unit/protocol/crash_report_codec.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
-import type {CrashReport} from '../../../src/protocol/crash_fields.js';
+import type {CrashReport} from '../../../src/protocol/crash_messages.js';
 import {
   decodeCrashReport,
   encodeCrashReport,
   isCrashReport,
 } from '../../../src/protocol/crash_report_codec.js';
-import {LOADS_QUESTION} from '../../../src/protocol/load_codec.js';
-import {encodeRelayQuestion} from '../../../src/protocol/relay_codec.js';
+import {LOADS_QUERY} from '../../../src/protocol/load_codec.js';
+import {encodeRelayQuery} from '../../../src/protocol/relay_codec.js';
 
 const REPORT: CrashReport = {
   digest: '2.ab',
@@ -40,8 +40,8 @@
 });
 
 test('other questions of nodes are no reports', t => {
-  t.false(isCrashReport(LOADS_QUESTION));
-  t.false(isCrashReport(encodeRelayQuestion({epoch: 1, revision: 2})));
+  t.false(isCrashReport(LOADS_QUERY));
+  t.false(isCrashReport(encodeRelayQuery({epoch: 1, revision: 2})));
   t.false(isCrashReport(Buffer.alloc(0)));
 });
 
--- a/test/unit/protocol/hop_codecs.test.ts
+++ b/test/unit/protocol/hop_codecs.test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import fc from 'fast-check';
 import type {
-  HopAnswer,
+  HopResponse,
   HopRequest,
 } from '../../../src/protocol/hop_messages.js';
 import {
-  decodeHopAnswer,
-  encodeHopAnswer,
-} from '../../../src/protocol/hop_answer_codec.js';
+  decodeHopResponse,
+  encodeHopResponse,
+} from '../../../src/protocol/hop_response_codec.js';
 import {
   decodeHopRequest,
   encodeHopRequest,
@@ -37,7 +37,7 @@
   knownPosition: {epoch: 3, revision: 4711},
 };
 
-const ANSWER: HopAnswer = {
+const ANSWER: HopResponse = {
   outcome: 'answered',
   reason: 'none',
   hasFailedCall: true,
@@ -73,20 +73,20 @@
 
 test('an answer and its body come back as they were written', t => {
   const body = Buffer.from('body');
-  const decoded = decodeHopAnswer(encodeHopAnswer(ANSWER, body));
+  const decoded = decodeHopResponse(encodeHopResponse(ANSWER, body));
   t.deepEqual(decoded?.message, ANSWER);
   t.is(decoded?.body.toString(), 'body');
 });
 
 test('a refusal has no answer of an upstream', t => {
-  const refusal: HopAnswer = {
+  const refusal: HopResponse = {
     ...ANSWER,
     outcome: 'refused',
     reason: 'queue-full',
     message: undefined,
   };
-  const payload = encodeHopAnswer(refusal, Buffer.alloc(0));
-  t.deepEqual(decodeHopAnswer(payload)?.message, refusal);
+  const payload = encodeHopResponse(refusal, Buffer.alloc(0));
+  t.deepEqual(decodeHopResponse(payload)?.message, refusal);
 });
 
 test('bytes that are no message are told apart and never throw', t => {
@@ -94,7 +94,7 @@
     fc.property(fc.uint8Array({maxLength: 200}), bytes => {
       const payload = Buffer.from(bytes);
       t.is(decodeHopRequest(payload), undefined);
-      t.is(decodeHopAnswer(payload), undefined);
+      t.is(decodeHopResponse(payload), undefined);
     }),
   );
 });
@@ -128,8 +128,8 @@
     ...REQUEST,
     knownPosition: {epoch: 0, revision: 4711},
   });
-  const answer = encodeHopAnswer(ANSWER, Buffer.alloc(0));
-  t.deepEqual(decodeHopAnswer(withFields(answer, withoutEpoch))?.message, {
+  const answer = encodeHopResponse(ANSWER, Buffer.alloc(0));
+  t.deepEqual(decodeHopResponse(withFields(answer, withoutEpoch))?.message, {
     ...ANSWER,
     knownPosition: {epoch: 0, revision: 4712},
   });
--- a/test/unit/protocol/relay_codec.test.ts
+++ b/test/unit/protocol/relay_codec.test.ts
@@ -1,19 +1,19 @@
 import fc from 'fast-check';
 import test from 'ava';
-import type {RelayAnswer} from '../../../src/protocol/relay_codec.js';
+import type {RelayResponse} from '../../../src/protocol/relay_codec.js';
 import {
-  decodeRelayAnswer,
-  decodeRelayQuestion,
-  encodeRelayAnswer,
-  encodeRelayQuestion,
+  decodeRelayResponse,
+  decodeRelayQuery,
+  encodeRelayResponse,
+  encodeRelayQuery,
 } from '../../../src/protocol/relay_codec.js';
 
 const POSITION = {epoch: 3, revision: 4711};
 
 test('a question and its answers come back as they were written', t => {
-  const question = encodeRelayQuestion(POSITION);
-  t.deepEqual(decodeRelayQuestion(question), POSITION);
-  const answers: readonly RelayAnswer[] = [
+  const question = encodeRelayQuery(POSITION);
+  t.deepEqual(decodeRelayQuery(question), POSITION);
+  const answers: readonly RelayResponse[] = [
     {position: POSITION, isWatching: true, changes: []},
     {position: POSITION, isWatching: false, changes: undefined},
     {
@@ -27,20 +27,20 @@
     },
   ];
   for (const answer of answers) {
-    t.deepEqual(decodeRelayAnswer(encodeRelayAnswer(answer)), answer);
+    t.deepEqual(decodeRelayResponse(encodeRelayResponse(answer)), answer);
   }
 });
 
 test('a question for loads is none for changes', t => {
-  t.is(decodeRelayQuestion(Buffer.from([1])), undefined);
-  t.is(decodeRelayQuestion(Buffer.alloc(0)), undefined);
+  t.is(decodeRelayQuery(Buffer.from([1])), undefined);
+  t.is(decodeRelayQuery(Buffer.alloc(0)), undefined);
 });
 
 test('bytes that are no message are told apart and never throw', t => {
   fc.assert(
     fc.property(fc.uint8Array({maxLength: 100}), bytes => {
-      t.is(decodeRelayQuestion(Buffer.from([2, ...bytes])), undefined);
-      t.is(decodeRelayAnswer(Buffer.from(bytes)), undefined);
+      t.is(decodeRelayQuery(Buffer.from([2, ...bytes])), undefined);
+      t.is(decodeRelayResponse(Buffer.from(bytes)), undefined);
     }),
   );
 });
@@ -48,6 +48,6 @@
 test('one broken change makes an answer none', t => {
   for (const change of ['[1,2,"x"]', '["a","1","x"]', '1', 'null']) {
     const text = `[[3,4711],1,[["a",4712,"x"],${change}]]`;
-    t.is(decodeRelayAnswer(Buffer.from(text)), undefined, change);
+    t.is(decodeRelayResponse(Buffer.from(text)), undefined, change);
   }
 });
--- a/test/unit/request/attempts.test.ts
+++ b/test/unit/request/attempt_runner.test.ts
@@ -1,32 +1,32 @@
 import test from 'ava';
-import type {ExecutionEnd} from '../../../src/connection/execution.js';
-import {createAttemptPatience} from '../../../src/process/repeats/attempt_patience.js';
-import {createLoadBoard} from '../../../src/process/admission/load_board.js';
+import type {ExecutionResult} from '../../../src/connection/execution.js';
+import {createAttemptTimeouts} from '../../../src/process/repeats/attempt_timeouts.js';
+import {createLoadTable} from '../../../src/process/admission/load_table.js';
 import {createPlacementChooser} from '../../../src/process/placement/placement.js';
 import {createStopPlan} from '../../../src/process/stop/stop_plan.js';
 import {createUpstreamDirectory} from '../../../src/process/membership/upstream_directory.js';
-import {createAttempts} from '../../../src/request/attempts.js';
+import {createAttemptRunner} from '../../../src/request/attempt_runner.js';
 import type {RepeatRules} from '../../../src/request/repeat_rules.js';
 import {executionCall} from '../../fakes/execution_call.js';
 import {serviceRoute, upstreamEntry} from '../../fakes/route_documents.js';
 
-const SILENT: ExecutionEnd = {
+const SILENT: ExecutionResult = {
   kind: 'unknown',
   reason: 'silent',
   hasFailedCall: false,
 };
-const REFUSED: ExecutionEnd = {kind: 'refused', reason: 'draining'};
+const REFUSED: ExecutionResult = {kind: 'refused', reason: 'draining'};
 
 const nowMillis = (): number => performance.now();
 
 const RULES: RepeatRules = {
-  mayTryAgain: (_request, _end, sentCount) => sentCount < 4,
-  mayGiveUp: () => false,
+  mayRetry: (_request, _end, sentCount) => sentCount < 4,
+  mayAbandonAttempt: () => false,
 };
 
 /** Tries upstreams 1 to 3 of which the last two are lost; returns whom. */
 async function tried(
-  end: ExecutionEnd,
+  end: ExecutionResult,
   isRepeatable = true,
 ): Promise<readonly string[]> {
   const ids: string[] = [];
@@ -37,12 +37,12 @@
   directory.put(
     ['1', '2', '3'].map(id => upstreamEntry({id, hostKey: `10.0.0.${id}:1`})),
   );
-  const attempts = createAttempts({
+  const attempts = createAttemptRunner({
     quarantine: {holds: () => false},
     hostKey: 'here',
     placement: createPlacementChooser({
       directory,
-      board: createLoadBoard(nowMillis),
+      loadTable: createLoadTable(nowMillis),
       hostKey: 'here',
       zone: 'zone-a',
       region: 'region',
@@ -56,13 +56,13 @@
         return Promise.resolve(end);
       },
       isLost: ({id}) => id !== '1',
-      askLoads: () => undefined,
+      queryLoads: () => undefined,
       sendCrashReport: () => undefined,
-      askChanges: () => Promise.resolve(undefined),
+      queryChanges: () => Promise.resolve(undefined),
       dispose: () => undefined,
     },
     rules: RULES,
-    patience: createAttemptPatience(),
+    attemptTimeouts: createAttemptTimeouts(),
     stop: createStopPlan(nowMillis),
     nowMillis,
     onAttempt: () => undefined,
--- a/test/unit/request/crash_detector.test.ts
+++ b/test/unit/request/crash_detector.test.ts
@@ -1,17 +1,17 @@
 import {PassThrough} from 'node:stream';
 import test from 'ava';
 import type {ProbeResult} from '../../../src/connection/upstream_probe.js';
-import type {UpstreamEnd} from '../../../src/connection/upstream_sender.js';
+import type {UpstreamResult} from '../../../src/connection/upstream_sender.js';
 import type {DispatchedRequest} from '../../../src/request/crash_detector.js';
 import {createCrashDetector} from '../../../src/request/crash_detector.js';
 
-const LOST: UpstreamEnd = {
+const LOST: UpstreamResult = {
   kind: 'unknown',
   reason: 'connection-lost',
   wasReused: false,
 };
-const CANCELLED: UpstreamEnd = {...LOST, reason: 'cancelled'};
-const REJECTED: UpstreamEnd = {kind: 'not-run', reason: 'not-executed'};
+const CANCELLED: UpstreamResult = {...LOST, reason: 'cancelled'};
+const REJECTED: UpstreamResult = {kind: 'not-run', reason: 'not-executed'};
 
 function createFixture(result: ProbeResult) {
   let now = 0;
@@ -88,13 +88,13 @@
   t.deepEqual(crashes, [['last', 'late']]);
 });
 
-function answerWithRest(rest: PassThrough): UpstreamEnd {
+function answerWithRest(bodyRest: PassThrough): UpstreamResult {
   const answer = {
     statusCode: 200,
     headers: [],
     isUnframed: false,
-    start: Buffer.alloc(0),
-    rest,
+    bodyStart: Buffer.alloc(0),
+    bodyRest,
   };
   return {kind: 'answered', answer};
 }
--- a/test/unit/request/crash_quarantine.test.ts
+++ b/test/unit/request/crash_quarantine.test.ts
@@ -2,15 +2,15 @@
 import {PassThrough} from 'node:stream';
 import test from 'ava';
 import {createCancelSource} from '../../../src/base/cancel_signal.js';
-import type {UpstreamEnd} from '../../../src/connection/upstream_sender.js';
-import {fingerprintsOf} from '../../../src/connection/request_fingerprint.js';
+import type {UpstreamResult} from '../../../src/connection/upstream_sender.js';
+import {computeFingerprints} from '../../../src/connection/request_fingerprint.js';
 import {createCrashEvidence} from '../../../src/process/quarantine/crash_evidence.js';
-import type {IdentifiedRequest} from '../../../src/request/crash_quarantine.js';
+import type {QuarantineRequest} from '../../../src/request/crash_quarantine.js';
 import {createCrashQuarantine} from '../../../src/request/crash_quarantine.js';
 
 const PAUSE_MILLIS = 3000;
 
-function requestTo(target: string, callerService = 'shop'): IdentifiedRequest {
+function requestTo(target: string, callerService = 'shop'): QuarantineRequest {
   return {
     attemptId: target,
     callerService,
@@ -21,13 +21,13 @@
   };
 }
 
-function answered(statusCode: number, rest?: Readable): UpstreamEnd {
+function answered(statusCode: number, bodyRest?: Readable): UpstreamResult {
   const answer = {
     statusCode,
     headers: [],
     isUnframed: false,
-    start: Buffer.alloc(0),
-    rest,
+    bodyStart: Buffer.alloc(0),
+    bodyRest,
   };
   return {kind: 'answered', answer};
 }
@@ -54,8 +54,8 @@
     quarantine,
     refusals,
     cleared,
-    admit: (request: IdentifiedRequest) => quarantine.admit(request, wait),
-    crash: (...requests: IdentifiedRequest[]) => {
+    admit: (request: QuarantineRequest) => quarantine.admit(request, wait),
+    crash: (...requests: QuarantineRequest[]) => {
       crashesCount += 1;
       evidence.add([
         {
@@ -63,7 +63,7 @@
           upstreamId: 'u-1',
           ageMillis: 0,
           fingerprints: requests.flatMap(request =>
-            Object.values(fingerprintsOf(request)),
+            Object.values(computeFingerprints(request)),
           ),
           clearedFingerprints: [],
         },
--- a/test/unit/request/local_upstream.test.ts
+++ b/test/unit/request/local_upstream.test.ts
@@ -84,7 +84,7 @@
   const {directory, upstream} = createFixture();
   directory.put([upstreamEntry({isDraining: true})]);
   t.is(upstream.refusalFor('u-1'), 'draining');
-  directory.replace([]);
+  directory.replaceAll([]);
   t.is(upstream.leavingReason('u-1'), 'other-upstream');
   t.is(upstream.refusalFor('u-2'), undefined);
   upstream.startDraining();
--- a/test/unit/request/misdirected.test.ts
+++ b/test/unit/request/misdirected.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
-import type {ExecutionEnd} from '../../../src/connection/execution.js';
-import type {UpstreamEnd} from '../../../src/connection/upstream_sender.js';
+import type {ExecutionResult} from '../../../src/connection/execution.js';
+import type {UpstreamResult} from '../../../src/connection/upstream_sender.js';
 import {createAdmissionLevel} from '../../../src/process/admission/admission_level.js';
 import {createCallTrees} from '../../../src/process/admission/call_trees.js';
 import {createCrashEvidence} from '../../../src/process/quarantine/crash_evidence.js';
 import {createInFlightParents} from '../../../src/process/repeats/in_flight_parents.js';
-import {createLoadBoard} from '../../../src/process/admission/load_board.js';
+import {createLoadTable} from '../../../src/process/admission/load_table.js';
 import {createRejectionRate} from '../../../src/process/admission/rejection_rate.js';
 import {createRelativeSlowness} from '../../../src/process/placement/relative_slowness.js';
 import {createRepeatBudget} from '../../../src/process/repeats/repeat_budget.js';
@@ -30,8 +30,8 @@
   statusCode: 200,
   headers: [],
   isUnframed: false,
-  start: Buffer.alloc(0),
-  rest: undefined,
+  bodyStart: Buffer.alloc(0),
+  bodyRest: undefined,
 };
 
 /** A node whose upstream is another one than its entry says. */
@@ -72,7 +72,7 @@
       onCleared: () => undefined,
     }),
     sender: {
-      send: ({upstreamId}, onEnd: (end: UpstreamEnd) => void) => {
+      send: ({upstreamId}, onEnd: (end: UpstreamResult) => void) => {
         sentIds.push(upstreamId);
         onEnd(
           upstreamId === actualId
@@ -80,7 +80,7 @@
             : {kind: 'not-run', reason: MISDIRECTED, actualId},
         );
       },
-      dropIdle: () => undefined,
+      closeIdleConnections: () => undefined,
       dispose: () => undefined,
     },
     budget: createRepeatBudget({
@@ -98,7 +98,7 @@
     fetchBody: () => Buffer.alloc(0),
   });
   return {
-    execute: (upstreamId: string): Promise<ExecutionEnd> =>
+    execute: (upstreamId: string): Promise<ExecutionResult> =>
       execution.execute(call(upstreamId)),
     sentIds,
     nowMillis,
@@ -139,7 +139,7 @@
       nodesCount: () => 1,
     }),
     trees,
-    board: createLoadBoard(nowMillis),
+    loadTable: createLoadTable(nowMillis),
     nowMillis,
   });
   const request = {
@@ -148,11 +148,11 @@
     call: executionCall(nowMillis()),
   };
   const mayGoOn = (): boolean =>
-    rules.mayTryAgain(request, {kind: 'refused', reason: MISDIRECTED}, 0);
+    rules.mayRetry(request, {kind: 'refused', reason: MISDIRECTED}, 0);
   const answers = Array.from({length: 12}, mayGoOn);
   t.is(answers.filter(Boolean).length, 3);
   t.true(
-    rules.mayTryAgain(request, {kind: 'refused', reason: 'other-upstream'}, 0),
+    rules.mayRetry(request, {kind: 'refused', reason: 'other-upstream'}, 0),
   );
 });
 
--- a/test/unit/request/repeat_rules.test.ts
+++ b/test/unit/request/repeat_rules.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import type {ExecutionEnd} from '../../../src/connection/execution.js';
+import type {ExecutionResult} from '../../../src/connection/execution.js';
 import {createCallTrees} from '../../../src/process/admission/call_trees.js';
-import {createLoadBoard} from '../../../src/process/admission/load_board.js';
+import {createLoadTable} from '../../../src/process/admission/load_table.js';
 import {createRepeatBudget} from '../../../src/process/repeats/repeat_budget.js';
 import type {AttemptedRequest} from '../../../src/request/attempted_request.js';
 import {createRepeatRules} from '../../../src/request/repeat_rules.js';
@@ -10,7 +10,7 @@
 
 const BOUND = {ratio: 0.2, windowMillis: 10_000, slackCount: 40};
 
-const SILENT: ExecutionEnd = {
+const SILENT: ExecutionResult = {
   kind: 'unknown',
   reason: 'silent',
   hasFailedCall: false,
@@ -29,7 +29,7 @@
   const rules = createRepeatRules({
     budget,
     trees: createCallTrees(),
-    board: createLoadBoard(nowMillis),
+    loadTable: createLoadTable(nowMillis),
     nowMillis,
   });
   const request = (): AttemptedRequest => ({
@@ -50,7 +50,7 @@
   let repeatsCount = 0;
   for (let sent = 0; sent < requestsCount; sent += 1) {
     budget.recordRequest(new Map([['orders', 1]]));
-    if (rules.mayTryAgain(request(), SILENT, 1)) repeatsCount += 1;
+    if (rules.mayRetry(request(), SILENT, 1)) repeatsCount += 1;
   }
   const allowedCount = BOUND.ratio * requestsCount + BOUND.slackCount;
   t.true(repeatsCount <= allowedCount, String(repeatsCount));
@@ -64,5 +64,5 @@
   const one = new Map([['orders', 1]]);
   for (let sent = 0; sent < 400; sent += 1) budget.recordRequest(one);
   while (budget.tryTake(one)) continue;
-  t.true(rules.mayTryAgain(request(), SILENT, 1));
+  t.true(rules.mayRetry(request(), SILENT, 1));
 });
