--- a/src/connection/relay_follower.ts
+++ b/src/connection/relay_follower.ts
@@ -45,8 +45,9 @@
   ): number => {
     options.onResponse();
     state.markReached();
-    if (read.documents.length > 0)
+    if (read.documents.length > 0) {
       state.reportCall('relayed', read, sinceMillis);
+    }
     state.applyChanges(after, read);
     state.setWatching(false);
     const isStale = peerPositions?.isStale ?? false;
@@ -63,13 +64,16 @@
       state.setWatching(true);
       return RELAY_POLL_INTERVAL_MILLIS;
     }
-    if (end === 'failed')
+    if (end === 'failed') {
       return state.isSourceLost ? RELAY_POLL_INTERVAL_MILLIS : 0;
+    }
     // The position that was asked for is void, or about to be.
-    if (state.isReading || state.readRequirement !== 'no')
+    if (state.isReading || state.readRequirement !== 'no') {
       return RELAY_POLL_INTERVAL_MILLIS;
-    if (state.position?.epoch !== after.epoch)
+    }
+    if (state.position?.epoch !== after.epoch) {
       return RELAY_POLL_INTERVAL_MILLIS;
+    }
     if (end !== 'read') return takeDocuments(after, end, sinceMillis);
     state.setWatching(false);
     state.requireRead('until-read');
@@ -94,8 +98,9 @@
 
   const step = Effect.suspend((): Effect.Effect<unknown, unknown> => {
     const after = state.position;
-    if (after === undefined || state.isReading)
+    if (after === undefined || state.isReading) {
       return pauseFor(RELAY_POLL_INTERVAL_MILLIS);
+    }
     const sinceMillis = nowMillis();
     return Effect.tryPromise({
       try: () => relay.poll(after, state.isSourceLost),
--- a/src/daemon/node_components.ts
+++ b/src/daemon/node_components.ts
@@ -95,8 +95,9 @@
       configuration.current()?.hasService(service) ?? true,
     onChange: change => {
       logChange(options.log, change);
-      if (change.kind === 'restarted')
+      if (change.kind === 'restarted') {
         loadTable.discardReports(change.entry.id);
+      }
       const isOwn = directory.findByHost(hostKey)?.entry === change.entry;
       if (change.kind === 'joined' && isOwn) upstream.markReached();
     },
--- a/src/daemon/node_exchanges.ts
+++ b/src/daemon/node_exchanges.ts
@@ -298,8 +298,9 @@
   end: ExecutionResult,
 ): void {
   if (end.kind === 'refused') options.metrics.recordRefusal(end.reason);
-  else if (end.kind === 'unknown')
+  else if (end.kind === 'unknown') {
     options.metrics.recordUnknownOutcome(end.reason);
+  }
 }
 
 function logRetry(
--- a/src/process/membership/missing_upstreams.ts
+++ b/src/process/membership/missing_upstreams.ts
@@ -105,8 +105,9 @@
       const lostMillis = now - (lostSinceMillis ?? now);
       lostSinceMillis = undefined;
       extend(untilMillis => untilMillis + lostMillis);
-      if (lostMillis > LAPSE_MILLIS)
+      if (lostMillis > LAPSE_MILLIS) {
         keepUntilMillis = now + REAPPEAR_GRACE_MILLIS;
+      }
     },
     markSourceRestored: () => {
       keepUntilMillis = nowMillis() + REAPPEAR_GRACE_MILLIS;
--- a/src/process/quota/quota_enforcer.ts
+++ b/src/process/quota/quota_enforcer.ts
@@ -145,8 +145,9 @@
     }
     let end = await send(host, sent);
     for (let retry = 0; retry < RETRIES_COUNT; retry += 1) {
-      if (end.kind === 'answered' || coordinatorChooser.isUnavailable(host))
+      if (end.kind === 'answered' || coordinatorChooser.isUnavailable(host)) {
         break;
+      }
       end = await sendAgain(host, sent);
     }
     noteFailed(host, end);
@@ -210,8 +211,9 @@
       const isAwaited =
         reachability.isPartitioned(zone) || coordinator.isActive();
       if (!isAwaited || probing.has(zone)) continue;
-      if (reachability.sinceReceivedMillis(zone) >= PROBE_MILLIS)
+      if (reachability.sinceReceivedMillis(zone) >= PROBE_MILLIS) {
         void probeZone(zone);
+      }
     }
   };
 
--- a/src/protocol/hop_request_codec.ts
+++ b/src/protocol/hop_request_codec.ts
@@ -87,10 +87,12 @@
   if (!areStrings([hopId, attemptId, upstreamId, callerService])) {
     return undefined;
   }
-  if (!areStrings([method, target]) || !Array.isArray(headers))
+  if (!areStrings([method, target]) || !Array.isArray(headers)) {
     return undefined;
-  if (!isFiniteNumber(leftMillis) || !isFiniteNumber(startWithinMillis))
+  }
+  if (!isFiniteNumber(leftMillis) || !isFiniteNumber(startWithinMillis)) {
     return undefined;
+  }
   if (origin === undefined || !areStrings(headers)) return undefined;
   return {
     message: {
@@ -120,8 +122,9 @@
   const [repeat, repeats, organisationName] = rest;
   if (typeof rootId !== 'string') return undefined;
   if (typeof rootRouteName !== 'string') return undefined;
-  if (!isFiniteNumber(importance) || !isFiniteNumber(rootAgeMillis))
+  if (!isFiniteNumber(importance) || !isFiniteNumber(rootAgeMillis)) {
     return undefined;
+  }
   return {
     importance,
     rootId,
--- a/src/protocol/quota_codec.ts
+++ b/src/protocol/quota_codec.ts
@@ -84,8 +84,9 @@
   const [organisation, ranCount, unconfirmedCount, offeredCounts] =
     value as readonly unknown[];
   if (typeof organisation !== 'string') return undefined;
-  if (!isFiniteNumber(ranCount) || !isFiniteNumber(unconfirmedCount))
+  if (!isFiniteNumber(ranCount) || !isFiniteNumber(unconfirmedCount)) {
     return undefined;
+  }
   if (!areNumbers(offeredCounts)) return undefined;
   return {organisation, ranCount, unconfirmedCount, offeredCounts};
 }
--- a/src/request/attempt_runner.ts
+++ b/src/request/attempt_runner.ts
@@ -113,8 +113,9 @@
     const mayTryAgain = (): boolean =>
       rules.mayRetry(request, lastResult, history.ranCount);
     if (!isAbandoned && !mayTryAgain()) break;
-    if (isSilent(lastResult))
+    if (isSilent(lastResult)) {
       await awaitReachableUpstream(options, request, history);
+    }
     if (wasDispatched(lastResult)) {
       options.onRetry(request, reasonOf(lastResult));
       call = {...call, origin: {...call.origin, isRepeat: true}};
--- a/src/request/outbound_exchange.ts
+++ b/src/request/outbound_exchange.ts
@@ -146,8 +146,9 @@
   exchange: HttpExchange,
   {attemptId, route, isLocal, parent}: RoutedRequest,
 ): boolean {
-  if (stop.accepts({isFromUpstream: isLocal || parent !== undefined}))
+  if (stop.accepts({isFromUpstream: isLocal || parent !== undefined})) {
     return false;
+  }
   responder.refuseDuringStop(exchange, {attemptId, route});
   return true;
 }
--- a/test/fakes/fleet_replay.ts
+++ b/test/fakes/fleet_replay.ts
@@ -204,8 +204,9 @@
       const delayMillis = isNear ? 0 : HOP_MILLIS;
       const learn = (): void => {
         if (isNear) return;
-        for (const load of node.loadsFor(from.own.id))
+        for (const load of node.loadsFor(from.own.id)) {
           from.loadTable.observe(load);
+        }
       };
       const goOn = (verdict: Verdict): void => {
         learn();
--- a/test/unit/connection/document_follower_load.test.ts
+++ b/test/unit/connection/document_follower_load.test.ts
@@ -184,8 +184,9 @@
       if (atMillis === 8700) source.compact();
       if (atMillis === 8700) source.holdWatches(false);
       // The others were told at once, and say so with their messages.
-      if (atMillis >= 8700)
+      if (atMillis >= 8700) {
         peerPositions.recordPeerPosition({epoch: 0, revision: 2});
+      }
     },
   );
   t.true(worstDelayMillis <= 1000, `${String(worstDelayMillis)} ms`);
--- a/test/unit/daemon/restored_source_model.test.ts
+++ b/test/unit/daemon/restored_source_model.test.ts
@@ -195,8 +195,9 @@
       }
       world.tick(atMillis);
       if (atMillis % EXPIRE_MILLIS === 0) directory.removeExpired();
-      for (const {entry} of directory.listReady('orders'))
+      for (const {entry} of directory.listReady('orders')) {
         memory.checkReady(entry);
+      }
       const version = configuration.current()?.version ?? 0;
       if (version < versionBefore) memory.violations.push('version went back');
       versionBefore = version;
