--- a/src/base/cached_clock.ts
+++ b/src/base/cached_clock.ts
@@ -1,23 +1,27 @@
 /**
- * A clock that is read once in each turn of the event loop.
+ * A clock that is read once per event loop turn.
  *
- * A request passes some thirty decisions that ask for the time; within one turn
- * they differ by less than any of their bounds.
+ * A request makes about thirty decisions that read the time. Within one turn
+ * the readings differ by less than any time limit they are compared with.
  */
 
-/** Creates a clock in milliseconds over one that costs more to read. */
+/**
+ * Creates a clock in milliseconds that caches `readMillis`, which is more
+ * expensive to call, for one turn.
+ */
 export function createCachedClock(readMillis: () => number): () => number {
-  let turnMillis = 0;
-  let isRead = false;
-  const endTurn = (): void => {
-    isRead = false;
+  let cachedMillis = 0;
+  let isCached = false;
+  const invalidate = (): void => {
+    isCached = false;
   };
   return () => {
-    if (isRead) return turnMillis;
-    isRead = true;
-    turnMillis = readMillis();
-    // Runs after the callbacks of this turn and before the process waits again.
-    setImmediate(endTurn);
-    return turnMillis;
+    if (isCached) return cachedMillis;
+    isCached = true;
+    cachedMillis = readMillis();
+    // Runs after the callbacks of this turn and before the event loop waits
+    // again.
+    setImmediate(invalidate);
+    return cachedMillis;
   };
 }
--- a/src/base/cancel_signal.ts
+++ b/src/base/cancel_signal.ts
@@ -1,31 +1,37 @@
 /**
- * Explicit cancellation of work that is no longer needed.
+ * Cancellation of work whose result is no longer needed.
  */
 import type {Disposable} from './lifecycle.js';
 
-/** Signals work to stop. */
+/** Notifies running work that it was cancelled. */
 export interface CancelSignal {
   readonly isCancelled: boolean;
-  /** Calls the listener once on cancellation, at once if it has taken place. */
+  /**
+   * Calls the listener once on cancellation, or immediately if already
+   * cancelled.
+   */
   onCancel(listener: () => void): Disposable;
 }
 
-/** The cancelling side. */
+/** Owns a signal and cancels it. */
 export interface CancelSource {
   readonly signal: CancelSignal;
   cancel(): void;
 }
 
-/** Plain fields: an accessor in a literal makes each object costly to create. */
-interface OwnSignal extends CancelSignal {
+/**
+ * Uses plain fields because an accessor in an object literal makes each object
+ * more expensive to create.
+ */
+interface MutableCancelSignal extends CancelSignal {
   isCancelled: boolean;
 }
 
-const NOTHING: Disposable = {dispose: () => undefined};
+const NOOP_DISPOSABLE: Disposable = {dispose: () => undefined};
 
 /** Creates a source that has not been cancelled. */
 export function createCancelSource(): CancelSource {
-  /** Most have one or none, and no set is made for these. */
+  /** Most signals have at most one listener, for which no set is allocated. */
   let first: (() => void) | undefined;
   let others: Set<() => void> | undefined;
   const add = (listener: () => void): void => {
@@ -40,12 +46,12 @@
     if (first === listener) first = undefined;
     else others?.delete(listener);
   };
-  const signal: OwnSignal = {
+  const signal: MutableCancelSignal = {
     isCancelled: false,
     onCancel: listener => {
       if (signal.isCancelled) {
         listener();
-        return NOTHING;
+        return NOOP_DISPOSABLE;
       }
       add(listener);
       return {
--- a/src/base/errors.ts
+++ b/src/base/errors.ts
@@ -1,22 +1,22 @@
 /**
- * Error classes that name the step and the peer at which a failure arose.
+ * Error classes that carry the step and the peer of a failure.
  */
 import ModernError from 'modern-errors';
 
-/** Where a failure arose. */
+/** Where a failure occurred. */
 export interface FailureOrigin {
   /** Stage of the work, for example `connect`, `admission`, `read-body`. */
   readonly step: string;
-  /** Host name or address of the other side; the own host when local. */
+  /** Host name or address of the remote side; this host for local failures. */
   readonly peer: string;
 }
 
-/** Base of every error this project raises. */
+/** Base class of all errors thrown by this project. */
 export const BaseError = ModernError.subclass('BaseError', {
   props: {step: 'unspecified', peer: 'local'},
 });
 
-/** Input from outside that does not meet its contract. */
+/** External input that violates its contract. */
 export const InvalidInputError = BaseError.subclass('InvalidInputError');
 
 /** A transport or protocol failure between two processes. */
@@ -25,7 +25,9 @@
 /** A bounded resource is full. */
 export const CapacityError = BaseError.subclass('CapacityError');
 
-/** Text of an unknown thrown value, for messages and logs. */
+/**
+ * Returns the message of a thrown value of unknown type, for errors and logs.
+ */
 export function describeError(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
--- a/src/base/event.ts
+++ b/src/base/event.ts
@@ -7,10 +7,10 @@
 /** Subscribes a listener; disposing of the result unsubscribes it. */
 export type Event<T> = (listener: (value: T) => void) => Disposable;
 
-/** The firing side of an event. */
+/** Owns the listeners of an event and fires it. */
 export interface Emitter<T> extends Disposable {
   readonly event: Event<T>;
-  /** Calls every listener registered at this moment, in order of registration. */
+  /** Calls all currently registered listeners in order of registration. */
   fire(value: T): void;
 }
 
--- a/src/base/fnv_hash.ts
+++ b/src/base/fnv_hash.ts
@@ -1,11 +1,11 @@
 /**
- * A fast hash of short texts, the same at all nodes; not for secrets.
+ * Fast non-cryptographic hash of short strings, identical on all nodes.
  */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** 32-bit FNV-1a, without a sign. */
+/** Returns the 32-bit FNV-1a hash as an unsigned integer. */
 export function fnvHash(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
--- a/src/base/lifecycle.ts
+++ b/src/base/lifecycle.ts
@@ -1,14 +1,14 @@
 /**
- * Ownership of resources: disposables and the store that gathers them.
+ * Disposables, stores that own several of them, and timers as disposables.
  */
 
-/** Something that holds a resource until it is disposed of. */
+/** An object that owns a resource until it is disposed of. */
 export interface Disposable {
   /** Releases the resource; a second call has no effect. */
   dispose(): void;
 }
 
-/** Wraps a clean-up function so that it runs at most once. */
+/** Wraps a cleanup function so that it runs at most once. */
 export function toDisposable(release: () => void): Disposable {
   let isDisposed = false;
   return {
@@ -21,14 +21,16 @@
 }
 
 /**
- * Gathers disposables with one owner and releases them together, last added
- * first.
+ * Collects the disposables of one owner and disposes of them together, in
+ * reverse order of addition.
  */
 export interface DisposableStore extends Disposable {
   readonly isDisposed: boolean;
-  /** Adds a disposable; on a store already disposed it is released at once. */
+  /**
+   * Adds a disposable, or disposes of it immediately if the store is disposed.
+   */
   add<T extends Disposable>(disposable: T): T;
-  /** Releases one member early and forgets it. */
+  /** Removes one disposable from the store and disposes of it. */
   delete(disposable: Disposable): void;
 }
 
@@ -41,7 +43,7 @@
       return isDisposed;
     },
     add: disposable => {
-      // An owner that is already gone would never release a late member.
+      // A disposed store is not disposed again, so a late member would leak.
       if (isDisposed) disposable.dispose();
       else members.add(disposable);
       return disposable;
@@ -71,28 +73,28 @@
   if (errors.length > 0) throw errors[0];
 }
 
-/** Intervals that are a multiple of this share one timer of the process. */
+/** Intervals that are a multiple of this step share one process-wide timer. */
 const STEP_MILLIS = 100;
 
-/** Calls listeners at multiples of a step, all from one timer. */
-function createSteppedTimer(stepMillis: number) {
+/** Calls listeners at multiples of a step from a single timer. */
+function createSharedTimer(stepMillis: number) {
   const listeners = new Map<() => void, number>();
   let timer: NodeJS.Timeout | undefined;
   let stepsCount = 0;
   const step = (): void => {
     stepsCount += 1;
-    for (const [listener, everyCount] of [...listeners]) {
-      const isDue = stepsCount % everyCount === 0;
+    for (const [listener, intervalStepsCount] of [...listeners]) {
+      const isDue = stepsCount % intervalStepsCount === 0;
       if (isDue && listeners.has(listener)) listener();
     }
   };
   return {
-    add: (everyCount: number, onTick: () => void): Disposable => {
-      // The same function may be registered several times.
+    add: (intervalStepsCount: number, onTick: () => void): Disposable => {
+      // Wrapped because the same function may be registered several times.
       const listener = (): void => {
         onTick();
       };
-      listeners.set(listener, everyCount);
+      listeners.set(listener, intervalStepsCount);
       timer ??= setInterval(step, stepMillis).unref();
       return toDisposable(() => {
         listeners.delete(listener);
@@ -104,12 +106,12 @@
   };
 }
 
-const sharedTimer = createSteppedTimer(STEP_MILLIS);
+const sharedTimer = createSharedTimer(STEP_MILLIS);
 
 /**
- * Registers an interval timer as a disposable that keeps no process alive. Timers
- * of one process tick together where their intervals allow it: each wake of a
- * process that is idle otherwise costs more than what it does then.
+ * Starts an interval timer that does not keep the process alive. Intervals that
+ * are a multiple of the shared step fire from one timer, because each wake-up
+ * of an idle process costs more than the work done in it.
  */
 export function createIntervalTimer(
   intervalMillis: number,
@@ -124,7 +126,7 @@
   });
 }
 
-/** Registers a one-shot timer as a disposable that keeps no process alive. */
+/** Starts a one-shot timer that does not keep the process alive. */
 export function createTimeoutTimer(
   delayMillis: number,
   onElapsed: () => void,
--- a/test/unit/base/cached_clock.test.ts
+++ b/test/unit/base/cached_clock.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import {createCachedClock} from '../../../src/base/cached_clock.js';
 
-test('the clock stands still within a turn and moves on with the next', async t => {
+test('the clock is read once per event loop turn', async t => {
   let readsCount = 0;
   const nowMillis = createCachedClock(() => {
     readsCount += 1;
--- a/test/unit/base/lifecycle.test.ts
+++ b/test/unit/base/lifecycle.test.ts
@@ -3,7 +3,7 @@
 import type {Disposable} from '../../../src/base/lifecycle.js';
 import {createIntervalTimer} from '../../../src/base/lifecycle.js';
 
-test('timers with intervals of a common step wake a process together', async t => {
+test('timers whose intervals share a step wake the process together', async t => {
   const wakes = new Set<number>();
   const ticks = new Map<number, number>();
   let wake = 0;
@@ -14,7 +14,7 @@
       createIntervalTimer(intervalMillis, () => {
         ticks.set(intervalMillis, (ticks.get(intervalMillis) ?? 0) + 1);
         wakes.add(wake);
-        // Runs once the callbacks of this wake are through.
+        // Runs after the callbacks of this turn of the event loop.
         setImmediate(() => {
           wake += 1;
         });
@@ -30,7 +30,7 @@
   t.true(wakes.size <= shortest + 4, `${String(wakes.size)} wakes`);
 });
 
-test('a timer ticks no more once it is disposed of', async t => {
+test('a disposed timer does not fire again', async t => {
   let count = 0;
   const timer = createIntervalTimer(20, () => {
     count += 1;
--- a/test/unit/import_cycles.test.ts
+++ b/test/unit/import_cycles.test.ts
@@ -7,7 +7,7 @@
 const FOLDERS = ['src', 'platform'];
 const IMPORT_PATTERN = /from '(\.[^']+)\.js'/g;
 
-/** Files that each file imports, for types or for values. */
+/** Returns the files that each file imports, including type-only imports. */
 function readImports(): ReadonlyMap<string, readonly string[]> {
   const files = FOLDERS.flatMap(folder =>
     readdirSync(join(ROOT, folder), {recursive: true, encoding: 'utf8'})
@@ -25,8 +25,8 @@
   );
 }
 
-/** The first circle that is found, as the files on it. */
-function findCircle(
+/** Returns the files of the first import cycle that is found. */
+function findCycle(
   imports: ReadonlyMap<string, readonly string[]>,
 ): readonly string[] | undefined {
   const finished = new Set<string>();
@@ -37,31 +37,31 @@
     if (path.includes(file)) return [...path.slice(path.indexOf(file)), file];
     if (finished.has(file)) return undefined;
     for (const imported of imports.get(file) ?? []) {
-      const circle = visit(imported, [...path, file]);
-      if (circle !== undefined) return circle;
+      const cycle = visit(imported, [...path, file]);
+      if (cycle !== undefined) return cycle;
     }
     finished.add(file);
     return undefined;
   };
   for (const file of imports.keys()) {
-    const circle = visit(file, []);
-    if (circle !== undefined) return circle;
+    const cycle = visit(file, []);
+    if (cycle !== undefined) return cycle;
   }
   return undefined;
 }
 
-test('no module imports itself through others, for types neither', t => {
+test('modules have no import cycles, including type-only imports', t => {
   const imports = readImports();
   t.true(imports.size > 100);
-  const circle = findCircle(imports)?.map(file => relative(ROOT, file));
-  t.is(circle, undefined, circle?.join(' -> '));
+  const cycle = findCycle(imports)?.map(file => relative(ROOT, file));
+  t.is(cycle, undefined, cycle?.join(' -> '));
 });
 
-test('a circle is found where there is one', t => {
+test('an import cycle is detected', t => {
   const imports = new Map([
     ['a', ['b']],
     ['b', ['c']],
     ['c', ['b']],
   ]);
-  t.deepEqual(findCircle(imports), ['b', 'c', 'b']);
+  t.deepEqual(findCycle(imports), ['b', 'c', 'b']);
 });
