--- a/src/version/compiled_policy.ts
+++ b/src/version/compiled_policy.ts
@@ -1,5 +1,6 @@
 /**
- * Preparation of a published policy document for look-ups on the data path.
+ * Validates published policy documents and compiles them for lookups on the
+ * data path.
  */
 import {createDocumentDecoder, documentDigest} from './json_document.js';
 import type {CompiledPolicy, Policy, RouteMatch, Service} from './policy.js';
@@ -9,7 +10,7 @@
 import type {RouteMatcher} from './route_matcher.js';
 import {createRouteMatcher} from './route_matcher.js';
 
-/** A policy ready for use, or everything that is wrong with the document. */
+/** The compiled policy, or all problems of the document. */
 export type PolicyCompileResult =
   | {readonly kind: 'compiled'; readonly compiled: CompiledPolicy}
   | {readonly kind: 'invalid'; readonly problems: readonly Problem[]};
@@ -21,7 +22,7 @@
 
 const decodePolicy = createDocumentDecoder(policySchema);
 
-/** Checks a document as published and compiles it if it is valid. */
+/** Validates a document as published and compiles it if it is valid. */
 export function compilePolicy(documentBytes: Uint8Array): PolicyCompileResult {
   const decoded = decodePolicy(documentBytes);
   if (decoded.kind === 'invalid') return decoded;
@@ -67,7 +68,8 @@
     value: {
       service,
       route,
-      // The checks refuse unknown classes; least important is the safe side.
+      // Validation rejects unknown classes; the least important class is a safe
+      // fallback.
       classIndex: classIndexes.get(route.className) ?? classIndexes.size - 1,
     },
   }));
--- a/src/version/duplicate_checks.ts
+++ b/src/version/duplicate_checks.ts
@@ -1,5 +1,6 @@
 /**
- * Checks for items of a list that are indistinguishable.
+ * Detects list items that cannot be distinguished: equal names, ambiguous
+ * routes.
  */
 import type {PatternSegment} from './path_pattern.js';
 import {comparePatterns, parsePathPattern} from './path_pattern.js';
@@ -16,7 +17,7 @@
   readonly segments: readonly PatternSegment[];
 }
 
-/** Reports each item whose name an earlier item of the list has. */
+/** Reports each item that has the same name as an earlier item of the list. */
 export function findDuplicateNames(
   listPath: string,
   items: readonly NamedItem[],
@@ -39,8 +40,8 @@
 }
 
 /**
- * Reports routes of one method with equal patterns, and those of which neither
- * is clearly the more specific: a reader could not tell which rules apply.
+ * Reports routes of one method with equal patterns, and those where neither
+ * pattern is clearly more specific, so that it is unclear which rules apply.
  */
 export function findRouteOverlaps(
   listPath: string,
@@ -50,12 +51,12 @@
   const earlier: ParsedRoute[] = [];
   routes.forEach((route, index) => {
     const parsed = {index, route, segments: parsePathPattern(route.path)};
-    const rival = earlier.find(other => isIndistinct(parsed, other));
-    if (rival !== undefined) {
+    const conflicting = earlier.find(other => isAmbiguous(parsed, other));
+    if (conflicting !== undefined) {
       problems.push({
         path: `${listPath}[${String(index)}].path`,
         value: route.path,
-        allowed: `a pattern that is distinct from, or in every segment as specific as, ${rival.route.path} of ${listPath}[${String(rival.index)}]`,
+        allowed: `a pattern that is distinct from, or in every segment as specific as, ${conflicting.route.path} of ${listPath}[${String(conflicting.index)}]`,
       });
     }
     earlier.push(parsed);
@@ -63,7 +64,7 @@
   return problems;
 }
 
-function isIndistinct(a: ParsedRoute, b: ParsedRoute): boolean {
+function isAmbiguous(a: ParsedRoute, b: ParsedRoute): boolean {
   if (a.route.method !== b.route.method) return false;
   const relation = comparePatterns(a.segments, b.segments);
   return relation === 'same' || relation === 'ambiguous';
--- a/src/version/host_list.ts
+++ b/src/version/host_list.ts
@@ -1,8 +1,8 @@
 /**
- * The platform's published list of live and leaving hosts.
+ * Host list published by the platform, with live and leaving hosts.
  */
 
-/** Whether the platform regards a host as in service. */
+/** Whether a host is in service or leaving, as published by the platform. */
 export type PublishedHostState = 'live' | 'leaving';
 
 /** One upstream host and the addresses of its node. */
--- a/src/version/host_list_schema.ts
+++ b/src/version/host_list_schema.ts
@@ -1,5 +1,5 @@
 /**
- * Schema and checks of the host list the platform publishes.
+ * Schema and validation of the host list that the platform publishes.
  */
 import {isIP} from 'node:net';
 import * as Schema from 'effect/Schema';
@@ -23,14 +23,16 @@
     'a host name of 1 to 253 lower-case letters, digits, hyphens and dots',
 }).check(Schema.isPattern(/^[a-z0-9](?:[a-z0-9.-]{0,251}[a-z0-9])?$/));
 
-/** IP address; names are refused as looking them up can fail later. */
+/**
+ * IP address. Host names are rejected because a DNS lookup could fail later.
+ */
 export const addressField = Schema.String.annotate({
   description: 'an IP address, version 4 or 6, without a zone index',
 }).check(Schema.makeFilter(isPlainIpAddress));
 
 const portField = integerField({minimum: 1, maximum: MAX_PORT});
 
-/** Shape of the host list. */
+/** Schema of the host list. */
 export const hostListSchema: Schema.Codec<HostList> = Schema.Struct({
   revision: integerField({minimum: 1, maximum: Number.MAX_SAFE_INTEGER}),
   hosts: listField(
@@ -48,19 +50,22 @@
   ),
 });
 
-/** A zone index names an interface of one machine and no other can use it. */
+/**
+ * Rejects IPv6 zone indexes, which are only valid on the machine that uses
+ * them.
+ */
 function isPlainIpAddress(text: string): boolean {
   return isIP(text) !== 0 && !text.includes('%');
 }
 
-/** A usable host list, or everything that is wrong with it. */
+/** The parsed host list, or all problems found in it. */
 export type HostListParseResult =
   | {readonly kind: 'parsed'; readonly list: HostList}
   | {readonly kind: 'invalid'; readonly problems: readonly Problem[]};
 
 const decodeHostList = createDocumentDecoder(hostListSchema);
 
-/** Checks a host list as published. */
+/** Parses and validates a host list as published. */
 export function parseHostList(documentBytes: Uint8Array): HostListParseResult {
   const decoded = decodeHostList(documentBytes);
   if (decoded.kind === 'invalid') return decoded;
@@ -70,8 +75,8 @@
 }
 
 /**
- * Two listeners behind one endpoint would take each other's calls, and a zone
- * in two regions would be near and far at once.
+ * Two hosts with the same endpoint would receive each other's calls, and a zone
+ * in two regions would be both local and remote.
  */
 function findHostProblems(hosts: readonly PublishedHost[]): readonly Problem[] {
   return [
@@ -84,17 +89,17 @@
 function findSharedEndpoints(
   hosts: readonly PublishedHost[],
 ): readonly Problem[] {
-  const ownerPaths = new Map<string, string>();
+  const firstPaths = new Map<string, string>();
   const problems: Problem[] = [];
   hosts.forEach((host, index) => {
     const path = `$.hosts[${String(index)}].peerPort`;
     const endpoint = `${host.address} port ${String(host.peerPort)}`;
-    const ownerPath = ownerPaths.get(endpoint);
-    if (ownerPath === undefined) {
-      ownerPaths.set(endpoint, path);
+    const firstPath = firstPaths.get(endpoint);
+    if (firstPath === undefined) {
+      firstPaths.set(endpoint, path);
       return;
     }
-    const allowed = `an address and port that differ from ${ownerPath}`;
+    const allowed = `an address and port that differ from ${firstPath}`;
     problems.push({path, value: endpoint, allowed});
   });
   return problems;
--- a/src/version/json_document.ts
+++ b/src/version/json_document.ts
@@ -1,6 +1,6 @@
 /**
- * Reading of a published JSON document against its schema, with every fault
- * reported at once.
+ * Decodes published JSON documents with a schema and reports all problems at
+ * once.
  */
 import {createHash} from 'node:crypto';
 import * as Result from 'effect/Result';
@@ -10,10 +10,12 @@
 import {ROOT_PATH} from './problem.js';
 import {describeError} from '../base/errors.js';
 
-/** Largest document accepted; the platform holds values up to a megabyte. */
+/**
+ * Largest accepted document; the platform stores values of up to one megabyte.
+ */
 export const MAX_DOCUMENT_BYTES = 1_000_000;
 
-/** A document that fits its schema, or everything that keeps it from fitting. */
+/** The decoded document, or all violations of its schema. */
 export type DecodedDocument<T> =
   | {readonly kind: 'decoded'; readonly value: T}
   | {readonly kind: 'invalid'; readonly problems: readonly Problem[]};
@@ -23,7 +25,7 @@
   documentBytes: Uint8Array,
 ) => DecodedDocument<T>;
 
-type JsonText =
+type ParsedJson =
   | {readonly kind: 'json'; readonly value: unknown}
   | {readonly kind: 'unreadable'; readonly problem: Problem};
 
@@ -32,7 +34,7 @@
   return createHash('sha256').update(documentBytes).digest('hex');
 }
 
-/** Creates a decoder that refuses unknown fields and reports every fault. */
+/** Creates a decoder that rejects unknown fields and reports all problems. */
 export function createDocumentDecoder<T, E>(
   schema: Schema.Codec<T, E>,
 ): DocumentDecoder<T> {
@@ -58,7 +60,7 @@
   };
 }
 
-function parseJson(documentBytes: Uint8Array): JsonText {
+function parseJson(documentBytes: Uint8Array): ParsedJson {
   if (documentBytes.byteLength > MAX_DOCUMENT_BYTES) {
     const found = `${String(documentBytes.byteLength)} bytes`;
     return unreadable(
@@ -74,6 +76,6 @@
   }
 }
 
-function unreadable(value: string, allowed: string): JsonText {
+function unreadable(value: string, allowed: string): ParsedJson {
   return {kind: 'unreadable', problem: {path: ROOT_PATH, value, allowed}};
 }
--- a/src/version/organisation.ts
+++ b/src/version/organisation.ts
@@ -1,8 +1,8 @@
 /**
- * Organisations whose clients use the deployment, known by their API keys.
+ * Organisations whose clients use the deployment, identified by API keys.
  *
- * Keys are kept as digests only, so that no state dump, log line or error can
- * show one.
+ * Only digests of keys are stored, so that no state dump, log line or error can
+ * contain a key.
  */
 import {createHash} from 'node:crypto';
 
@@ -11,22 +11,26 @@
   readonly name: string;
   /** Digests of its API keys, see `apiKeyDigest`. */
   readonly keyDigests: readonly string[];
-  /** Importance of its requests, before that of their routes; 0 is the highest. */
+  /**
+   * Priority of its requests, compared before their routes; 0 is the highest.
+   */
   readonly rank: number;
-  /** `undefined` without a limit. */
+  /** `undefined` if there is no limit. */
   readonly quota: OrganisationQuota | undefined;
 }
 
-/** Bound on the requests of one organisation that run in the whole fleet. */
+/**
+ * Limit on the requests of one organisation that run across the whole fleet.
+ */
 export interface OrganisationQuota {
   readonly ratePerSecond: number;
-  /** Requests that may run at once after a quiet time. */
+  /** Requests that may run at once after an idle period. */
   readonly burstCount: number;
 }
 
-/** Organisations of one version. */
+/** Lookup of the organisations of one configuration version. */
 export interface OrganisationDirectory {
-  /** The organisation that holds a key. */
+  /** Returns the organisation that an API key belongs to. */
   findByKey(key: string): Organisation | undefined;
   findByName(name: string): Organisation | undefined;
   readonly all: readonly Organisation[];
@@ -39,7 +43,9 @@
   return createHash('sha256').update(key).digest('hex');
 }
 
-/** Creates a directory; each key belongs to the last organisation that lists it. */
+/**
+ * Creates a directory. Each key belongs to the last organisation that lists it.
+ */
 export function createOrganisationDirectory(
   organisations: readonly Organisation[],
 ): OrganisationDirectory {
@@ -61,14 +67,14 @@
   };
 }
 
-/** A digest that several organisations list. */
+/** A key digest that several organisations list. */
 export interface SharedKey {
   readonly digest: string;
-  /** Positions of the first two organisations that list it. */
+  /** Indexes of two organisations that list it, the first one first. */
   readonly indexes: readonly [number, number];
 }
 
-/** Keys that do not identify one organisation. */
+/** Returns the keys that more than one organisation lists. */
 export function findSharedKeys(
   organisations: readonly Pick<Organisation, 'keyDigests'>[],
 ): readonly SharedKey[] {
--- a/src/version/path_pattern.ts
+++ b/src/version/path_pattern.ts
@@ -1,6 +1,6 @@
 /**
- * Path patterns of routes: their segments, how two patterns relate, and how a
- * request path is split for comparison.
+ * Path patterns of routes: parsing, comparison of two patterns, and splitting
+ * of request paths.
  */
 
 /** One segment of a pattern. */
@@ -12,15 +12,16 @@
   | {readonly kind: 'wildcard'};
 
 /**
- * How the paths of a pattern relate to those of another. `ambiguous`: some path
- * fits both and neither pattern is at least as specific in every segment.
+ * How the paths that one pattern matches relate to those of another.
+ * `ambiguous`: some path matches both and neither pattern is at least as
+ * specific in every segment.
  */
 export type PatternRelation =
   'disjoint' | 'same' | 'narrower' | 'wider' | 'ambiguous';
 
 const SPECIFICITY = {literal: 2, parameter: 1, wildcard: 0} as const;
 
-/** Splits a pattern that the schema has accepted. */
+/** Parses a pattern that the schema has accepted. */
 export function parsePathPattern(pattern: string): readonly PatternSegment[] {
   if (pattern === '/') return [];
   return pattern.slice(1).split('/').map(toSegment);
@@ -60,7 +61,9 @@
   return isWider ? 'wider' : 'same';
 }
 
-/** A final wildcard stands for every segment after it. */
+/**
+ * Returns the segment at an index; a final wildcard matches all following ones.
+ */
 function segmentAt(
   segments: readonly PatternSegment[],
   index: number,
@@ -71,11 +74,11 @@
 }
 
 /**
- * Splits the path of a request into decoded segments; undefined for a path that
- * an upstream may read as another one.
+ * Splits a request path into decoded segments. Returns undefined for a path
+ * that an upstream may interpret as another one.
  */
 export function splitRequestPath(path: string): readonly string[] | undefined {
-  // An upstream may take what follows `#` for a fragment and drop it.
+  // An upstream may treat what follows `#` as a fragment and drop it.
   if (!path.startsWith('/') || path.includes('#')) return undefined;
   if (path === '/') return [];
   const segments: string[] = [];
@@ -88,10 +91,11 @@
 }
 
 /**
- * Upstreams decode paths and resolve dot segments. Were `/x/../orders` or
- * `/%6frders` matched as written, they could fit a wildcard route that allows
- * repeats while the upstream takes an order, which would then be repeated.
- * Decoding first and refusing what remains doubtful keeps both readings equal.
+ * Upstreams decode paths and resolve dot segments. If `/x/../orders` or
+ * `/%6frders` were matched as written, they could match a wildcard route that
+ * allows retries while the upstream places an order, which would then be
+ * retried. Decoding first and rejecting ambiguous segments makes both sides
+ * interpret a path alike.
  */
 function decodeSegment(rawSegment: string): string | undefined {
   const segment = decodePercent(rawSegment);
--- a/src/version/policy.ts
+++ b/src/version/policy.ts
@@ -1,27 +1,29 @@
 /**
- * The policy document as validated: one per deployment, immutable, identified
- * by an increasing version.
+ * The validated policy document: one per deployment, immutable, identified by
+ * an increasing version.
  */
 
-/** How a route may be repeated after its outcome became unknown. */
+/** Whether a request may be retried after its outcome became unknown. */
 export type PolicyRepeatRule =
-  /** Read-only: may be repeated even on behalf of a request that may not. */
+  /** Read-only: may be retried even on behalf of a request that may not. */
   | 'safe'
-  /** May be repeated unless made on behalf of a request that may not. */
+  /** May be retried unless made on behalf of a request that may not. */
   | 'idempotent'
   /** Never sent again once a byte may have reached an upstream. */
   | 'never';
 
-/** A class of importance; the document lists them most important first. */
+/** A priority class; the document lists the classes most important first. */
 export interface RequestClass {
   readonly name: string;
-  /** Share of each upstream's limit, 0 to 1, that lower classes leave free. */
+  /** Share of each upstream's limit, 0 to 1, that lower classes cannot use. */
   readonly reservedRatio: number;
 }
 
-/** An API key, of which the document holds no more than a digest. */
+/** An API key; the document contains only its digest. */
 export interface ApiKey {
-  /** What operators call the key, for example by the year of its issue. */
+  /**
+   * Name of the key for operators, for example the year in which it was issued.
+   */
   readonly name: string;
   /** SHA-256 of the key, lower-case hex. */
   readonly digest: string;
@@ -30,16 +32,18 @@
 /** An organisation whose clients send requests with API keys. */
 export interface PolicyOrganisation {
   readonly name: string;
-  /** Importance before that of classes; 0 is the highest. */
+  /** Priority, compared before the class of a request; 0 is the highest. */
   readonly priority: number;
-  /** Requests that may run in the whole deployment; 0 means no limit. */
+  /**
+   * Requests per second that may run in the whole deployment; 0 means no limit.
+   */
   readonly ratePerSecond: number;
-  /** Requests that may run at once after a quiet time. */
+  /** Requests that may run at once after an idle period. */
   readonly burstCount: number;
   readonly apiKeys: readonly ApiKey[];
 }
 
-/** One kind of request a service answers. */
+/** One kind of request that a service handles. */
 export interface Route {
   readonly name: string;
   readonly method: string;
@@ -48,24 +52,26 @@
   readonly className: string;
   readonly repeat: PolicyRepeatRule;
   readonly deadlineMillis: number;
-  /** Retries one request entering here may cause over the whole chain. */
+  /**
+   * Retries that one request on this route may cause over its whole call chain.
+   */
   readonly retryBound: number;
   /** Clients need no API key. */
   readonly isPublic: boolean;
 }
 
-/** A group of equal upstreams. */
+/** A group of interchangeable upstreams. */
 export interface Service {
   readonly name: string;
   /** Concurrent calls one upstream executes. */
   readonly slotsCount: number;
   /** Open connections one upstream accepts. */
   readonly connectionsCount: number;
-  /** Calls that may wait at one upstream's node. */
+  /** Calls that may be queued at one upstream's node. */
   readonly queueCount: number;
   /** Longest wait in that queue. */
   readonly queueWaitMillis: number;
-  /** Longest silence of an attempt before it is given up. */
+  /** Longest time without progress before an attempt is abandoned. */
   readonly progressTimeoutMillis: number;
   readonly routes: readonly Route[];
 }
@@ -76,17 +82,20 @@
   readonly region: string;
 }
 
-/** Per-node bound on retries in relation to first attempts. */
+/** Per-node limit on retries relative to first attempts. */
 export interface RetryBudgetPolicy {
   readonly ratio: number;
   readonly minimumPerSecond: number;
 }
 
-/** Bounds on messages. */
+/** Limits on message bodies. */
 export interface BodyPolicy {
   /** Largest request body. */
   readonly requestBytes: number;
-  /** Answers up to this size are held until complete before the first byte goes on. */
+  /**
+   * Responses up to this size are buffered completely before they are
+   * forwarded.
+   */
   readonly bufferedAnswerBytes: number;
 }
 
@@ -94,17 +103,17 @@
 export interface EjectionPolicy {
   readonly consecutiveFailuresCount: number;
   readonly ejectionMillis: number;
-  /** Share of a service's hosts that stay in use whatever fails, 0 to 1. */
+  /** Share of a service's hosts, 0 to 1, that is never ejected. */
   readonly floorRatio: number;
 }
 
-/** Times that bound recovery and leaving. */
+/** Time limits of activation, recovery and shutdown. */
 export interface TimingPolicy {
   /** Time from acceptance of a version until new requests are served under it. */
   readonly activationMillis: number;
   /** Time a cold host takes to reach its full share of traffic. */
   readonly slowStartMillis: number;
-  /** Longest wait for requests in flight at a planned stop. */
+  /** Longest wait for requests in flight during a planned stop. */
   readonly drainMillis: number;
   /** Shortest Retry-After sent to a caller. */
   readonly retryAfterMinimumMillis: number;
@@ -112,7 +121,7 @@
   readonly retryAfterMaximumMillis: number;
 }
 
-/** The whole document. */
+/** The complete policy document. */
 export interface Policy {
   readonly formatVersion: 1;
   readonly version: number;
@@ -120,7 +129,7 @@
   readonly availabilityZones: readonly AvailabilityZone[];
   readonly classes: readonly RequestClass[];
   readonly services: readonly Service[];
-  /** Empty where clients need no API key. */
+  /** Empty if clients need no API key. */
   readonly organisations: readonly PolicyOrganisation[];
   readonly retryBudget: RetryBudgetPolicy;
   readonly bodies: BodyPolicy;
@@ -132,17 +141,17 @@
 export interface RouteMatch {
   readonly service: Service;
   readonly route: Route;
-  /** Position of the class in the document; 0 is most important. */
+  /** Index of the class in the document; 0 is the most important. */
   readonly classIndex: number;
 }
 
-/** A policy prepared for look-ups on the data path. */
+/** A policy compiled for lookups on the data path. */
 export interface CompiledPolicy {
   readonly policy: Policy;
   readonly version: number;
   /** SHA-256 of the document as published, lower-case hex. */
   readonly digest: string;
-  /** The document exactly as published, relayed to peers. */
+  /** The document exactly as published, for relaying to peers. */
   readonly documentBytes: Uint8Array;
   findService(serviceName: string): Service | undefined;
   /** `path` is without the query string. */
--- a/src/version/policy_checks.ts
+++ b/src/version/policy_checks.ts
@@ -1,19 +1,19 @@
 /**
- * Rules of the policy document that involve more than one field.
+ * Validation rules of the policy document that involve more than one field.
  */
 import {findDuplicateNames, findRouteOverlaps} from './duplicate_checks.js';
 import {findSharedKeys} from './organisation.js';
 import type {Policy, Route, Service} from './policy.js';
 import type {Problem} from './problem.js';
 
-/** Everything that makes a well-formed document unusable. */
+/** Returns all rule violations of a document that matches the schema. */
 export function findPolicyProblems(policy: Policy): readonly Problem[] {
   return [
     ...findDuplicateNames('$.availabilityZones', policy.availabilityZones),
     ...findDuplicateNames('$.classes', policy.classes),
     ...findDuplicateNames('$.services', policy.services),
     ...checkOrganisations(policy),
-    ...checkReserves(policy),
+    ...checkReservedRatios(policy),
     ...policy.services.flatMap((service, index) =>
       checkService(policy, service, `$.services[${String(index)}]`),
     ),
@@ -38,7 +38,7 @@
   ];
 }
 
-/** Sum of all reserves, which lower classes leave free together. */
+/** Share of an upstream's limit that all classes reserve together. */
 export function sumReservedRatios(policy: Policy): number {
   return policy.classes.reduce(
     (sum, {reservedRatio}) => sum + reservedRatio,
@@ -46,7 +46,7 @@
   );
 }
 
-function checkReserves(policy: Policy): readonly Problem[] {
+function checkReservedRatios(policy: Policy): readonly Problem[] {
   const sum = sumReservedRatios(policy);
   if (sum < 1) return [];
   return [
--- a/src/version/policy_routes.ts
+++ b/src/version/policy_routes.ts
@@ -1,5 +1,6 @@
 /**
- * Routes of a policy document, looked up by service, method and path pattern.
+ * Route table of a policy document, with lookup by service, method and path
+ * pattern.
  */
 import type {Organisation} from './organisation.js';
 import {createOrganisationDirectory} from './organisation.js';
@@ -8,7 +9,7 @@
 import type {RouteTable} from './route_table.js';
 import {hostNameOf, pathOf} from './route_table.js';
 
-/** Bounds on callers that the policy does not name. */
+/** Limits on callers that the policy document does not define. */
 const CALLER_LIMITS: Omit<ClientLimits, 'bodyBytes'> = {
   headerBytes: 65_536,
   headerMillis: 10_000,
@@ -16,17 +17,17 @@
 };
 
 /**
- * Part of a route's deadline within which an answer counts as in time: the
- * rest is what a caller's one repeat takes.
+ * Share of a route's deadline within which a response counts as on time. The
+ * rest is left for one retry by the caller.
  */
 const OBJECTIVE_RATIO = 0.5;
 
-/** Creates the table of one version. */
+/** Creates the route table of one policy version. */
 export function createPolicyRouteTable(compiled: CompiledPolicy): RouteTable {
   const routes = new Map<RouteMatch, ServiceRoute>();
-  const routeOf = (match: RouteMatch): ServiceRoute => {
-    const known = routes.get(match);
-    if (known !== undefined) return known;
+  const getOrCreateRoute = (match: RouteMatch): ServiceRoute => {
+    const existing = routes.get(match);
+    if (existing !== undefined) return existing;
     const created = createServiceRoute(match);
     routes.set(match, created);
     return created;
@@ -41,7 +42,7 @@
     organisations:
       organisations.length === 0
         ? undefined
-        : createOrganisationDirectory(organisations.map(organisationOf)),
+        : createOrganisationDirectory(organisations.map(toOrganisation)),
     hasService: name => compiled.findService(name) !== undefined,
     match: ({method, host, target}) => {
       const match = compiled.findRoute(
@@ -49,12 +50,12 @@
         method,
         pathOf(target),
       );
-      return match === undefined ? undefined : routeOf(match);
+      return match === undefined ? undefined : getOrCreateRoute(match);
     },
   };
 }
 
-function organisationOf(organisation: PolicyOrganisation): Organisation {
+function toOrganisation(organisation: PolicyOrganisation): Organisation {
   const {name, priority, ratePerSecond, burstCount, apiKeys} = organisation;
   return {
     name,
@@ -64,7 +65,7 @@
   };
 }
 
-/** The service a request is for is the first label of its host name. */
+/** Returns the service of a request: the first label of its host name. */
 function serviceNameOf(host: string): string {
   return hostNameOf(host).split('.', 1)[0] ?? '';
 }
--- a/src/version/policy_schema.ts
+++ b/src/version/policy_schema.ts
@@ -1,5 +1,6 @@
 /**
- * Schema of the policy document; every field is required and has a range.
+ * Schema of the policy document. Every number has a range; only `isPublic` and
+ * `organisations` may be omitted.
  */
 import * as Effect from 'effect/Effect';
 import * as Schema from 'effect/Schema';
@@ -41,8 +42,8 @@
 
 /**
  * Literal segments, `:name` segments and at most one `*`, which is last.
- * Percent-encoding and dot segments are left out: paths are decoded before they
- * are compared, and a dot segment would name another path to the upstream.
+ * Percent-encoding and dot segments are rejected: paths are decoded before they
+ * are compared, and an upstream would resolve a dot segment to another path.
  */
 const PATH_PATTERN =
   /^\/(?:(?!\.{1,2}(?:\/|$))(?:[A-Za-z0-9._~!$&'()+,;=@-]+|:[A-Za-z][A-Za-z0-9]*)(?:\/(?=.)|$))*\*?$/;
@@ -142,7 +143,7 @@
   retryAfterMaximumMillis: millisField(1, HOUR_MILLIS),
 });
 
-/** Shape and ranges of a policy document, field by field. */
+/** Schema of a policy document with the range of each field. */
 export const policySchema: Schema.Codec<Policy, unknown> = Schema.Struct({
   formatVersion: Schema.Literal(1).annotate({
     description: 'the number 1, the only format there is',
--- a/src/version/policy_warnings.ts
+++ b/src/version/policy_warnings.ts
@@ -1,19 +1,19 @@
 /**
- * Accepted settings that rarely do what their author wants.
+ * Warnings about valid settings that are probably not intended.
  */
 import {comparePatterns, parsePathPattern} from './path_pattern.js';
 import type {Policy, Route, Service} from './policy.js';
 import type {Problem} from './problem.js';
 import {sumReservedRatios} from './policy_checks.js';
 
-/** Lists doubtful settings of a document that has no problems. */
+/** Returns the warnings for a document that has no problems. */
 export function findPolicyWarnings(policy: Policy): readonly Problem[] {
   return policy.services.flatMap((service, index) =>
-    warnOfService(policy, service, `$.services[${String(index)}]`),
+    findServiceWarnings(policy, service, `$.services[${String(index)}]`),
   );
 }
 
-function warnOfService(
+function findServiceWarnings(
   policy: Policy,
   service: Service,
   path: string,
@@ -28,13 +28,13 @@
   }
   service.routes.forEach((route, index) => {
     const routePath = `${path}.routes[${String(index)}]`;
-    warnings.push(...warnOfRoute(service, route, routePath));
-    warnings.push(...warnOfWiderPattern(service, route, routePath));
+    warnings.push(...findRouteWarnings(service, route, routePath));
+    warnings.push(...findWiderPatternWarnings(service, route, routePath));
   });
   return warnings;
 }
 
-function warnOfRoute(
+function findRouteWarnings(
   service: Service,
   route: Route,
   path: string,
@@ -55,28 +55,29 @@
 }
 
 /**
- * Some upstreams ignore case or cut `;` parameters, so that they read a path as
- * that of a route which must not be repeated while it fits a wider pattern here.
+ * Some upstreams ignore case or strip `;` parameters. They may handle a path as
+ * that of a route which must not be retried while it matches a wider pattern
+ * here.
  */
-function warnOfWiderPattern(
+function findWiderPatternWarnings(
   service: Service,
   route: Route,
   path: string,
 ): readonly Problem[] {
   if (route.repeat === 'never') return [];
   const segments = parsePathPattern(route.path);
-  const covered = service.routes.find(
+  const coveredRoute = service.routes.find(
     other =>
       other.repeat === 'never' &&
       other.method === route.method &&
       comparePatterns(segments, parsePathPattern(other.path)) === 'wider',
   );
-  if (covered === undefined) return [];
+  if (coveredRoute === undefined) return [];
   return [
     {
       path: `${path}.repeat`,
       value: route.repeat,
-      allowed: `"never" on a pattern that covers ${covered.path} of route ${covered.name}, unless the upstream compares paths exactly`,
+      allowed: `"never" on a pattern that covers ${coveredRoute.path} of route ${coveredRoute.name}, unless the upstream compares paths exactly`,
     },
   ];
 }
--- a/src/version/problem.ts
+++ b/src/version/problem.ts
@@ -1,30 +1,30 @@
 /**
- * One fault of a document an operator published, told so that it can be mended
+ * Problems of published documents, described so that operators can fix them
  * without reading code.
  */
 
-/** A fault, the place it is at and what would be accepted there. */
+/** A problem: its location, the value found and the accepted values. */
 export interface Problem {
   /** Path from the document's root, for example `$.services[0].name`. */
   readonly path: string;
-  /** The value found; undefined when the field is missing. */
+  /** The value found; undefined if the field is missing. */
   readonly value: unknown;
-  /** What is accepted at this place, as a phrase. */
+  /** Description of the accepted values, as a phrase. */
   readonly allowed: string;
 }
 
 /** Longest excerpt of a value shown in a message. */
 const SHOWN_VALUE_CHARS = 80;
 
-/** Path of the document itself. */
+/** Path of the document root. */
 export const ROOT_PATH = '$';
 
-/** One line for a terminal or a log. */
+/** Formats a problem as one line for a terminal or a log. */
 export function formatProblem(problem: Problem): string {
-  return `${problem.path}: found ${showValue(problem.value)}, allowed: ${problem.allowed}`;
+  return `${problem.path}: found ${formatValue(problem.value)}, allowed: ${problem.allowed}`;
 }
 
-/** Renders a path of member names and positions. */
+/** Formats a path of property names and array indexes. */
 export function formatPath(segments: readonly PropertyKey[]): string {
   return ROOT_PATH + segments.map(formatSegment).join('');
 }
@@ -35,7 +35,7 @@
   return /^[A-Za-z_]\w*$/.test(name) ? `.${name}` : `[${JSON.stringify(name)}]`;
 }
 
-function showValue(value: unknown): string {
+function formatValue(value: unknown): string {
   if (value === undefined) return 'nothing';
   const text = JSON.stringify(value);
   if (text.length <= SHOWN_VALUE_CHARS) return text;
--- a/src/version/route_configuration.ts
+++ b/src/version/route_configuration.ts
@@ -1,5 +1,5 @@
 /**
- * The routing configuration of one version, as operators publish it.
+ * Routing configuration of one version, as published by operators.
  */
 
 import type {Organisation} from './organisation.js';
@@ -8,21 +8,21 @@
 export type RepeatRule = 'repeatable' | 'once';
 
 /**
- * Repeats of a route whose document names no bound. A request of eight calls to
- * a service that rejects half of what it is handed needs ten of them, and nine
- * in ten such requests no more than these; how many there are in all is for the
- * budget to bound.
+ * Retries of a request on a route whose document defines no limit. A request
+ * with eight calls to a service that rejects half of the calls it receives
+ * needs ten retries, and nine in ten such requests need no more than this
+ * limit; the retry budget limits the total.
  */
 export const DEFAULT_REPEATS_COUNT = 16;
 
-/** One service that takes a share of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface WeightedService {
   readonly service: string;
   /** Relative to the sum of all weights of the route. */
   readonly weightRatio: number;
 }
 
-/** How requests of one host name below one path prefix are treated. */
+/** Settings for requests with one host name and path prefix. */
 export interface ServiceRoute {
   readonly name: string;
   /** Host name in lower case, without a port. */
@@ -30,23 +30,23 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly repeat: RepeatRule;
-  /** Longest time a client is kept waiting. */
+  /** Longest time until a client receives a response. */
   readonly timeoutMillis: number;
-  /** Time within which an answer has its full value. */
+  /** Latency objective: responses within this time count as on time. */
   readonly objectiveMillis: number;
-  /** Upstreams that one attempt of a client may reach. */
+  /** Upstreams that one attempt of a client may be sent to. */
   readonly maxAttemptsCount: number;
-  /** Repeats that one request may cause over its whole chain of calls. */
+  /** Retries that one request may cause over its whole call chain. */
   readonly repeatsCount: number;
-  /** Importance; 0 is the most important. */
+  /** Priority; 0 is the highest. */
   readonly rank: number;
   /** Clients need no API key. */
   readonly isPublic: boolean;
-  /** One entry, or more where a route is split. */
+  /** One entry, or several if the route splits its requests. */
   readonly targets: readonly WeightedService[];
 }
 
-/** What a client may send and how slowly. */
+/** Limits on the size of client requests and on the time to receive them. */
 export interface ClientLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -54,18 +54,18 @@
   readonly idleMillis: number;
 }
 
-/** Bound on the repeats of one node. */
+/** Limit on the retries that one node sends. */
 export interface RetryBudget {
-  /** Repeats for each request. */
+  /** Retries allowed per request. */
   readonly ratio: number;
-  /** Repeats on top. */
+  /** Retries allowed per second in addition. */
   readonly minimumPerSecond: number;
 }
 
-/** Everything of one version. */
+/** The complete configuration of one version. */
 export interface RouteConfiguration {
   readonly version: number;
-  /** Names of services, whether routes lead to them or not. */
+  /** Names of the declared services, with or without routes to them. */
   readonly services: readonly string[];
   readonly routes: readonly ServiceRoute[];
   /** Empty if clients need no API key. */
--- a/src/version/route_matcher.ts
+++ b/src/version/route_matcher.ts
@@ -1,5 +1,5 @@
 /**
- * Look-up of routes by method and path, prepared once for each version.
+ * Lookup of routes by method and path, built once per configuration version.
  */
 import type {PatternSegment} from './path_pattern.js';
 import {parsePathPattern, splitRequestPath} from './path_pattern.js';
@@ -14,9 +14,12 @@
 /** Finds the value for a request; `path` is without the query string. */
 export type RouteMatcher<T> = (method: string, path: string) => T | undefined;
 
-/** Patterns that share their first segments share nodes. */
+/** A trie node; patterns with the same leading segments share nodes. */
 interface TrieNode<T> {
-  /** Absent on the many nodes without any, as an empty map takes memory. */
+  /**
+   * Absent if empty: many nodes have no literal children, and a map takes
+   * memory.
+   */
   literals?: Map<string, TrieNode<T>>;
   parameter?: TrieNode<T>;
   /** Value of a pattern whose wildcard starts here. */
@@ -27,15 +30,15 @@
 
 /** The patterns of one method. */
 interface MethodTable<T> {
-  /** Patterns without parameters, found without splitting the path. */
+  /** Patterns of literals only, found without splitting the path. */
   readonly literalPaths: Map<string, T>;
   readonly root: TrieNode<T>;
 }
 
 /**
- * Creates a matcher in which, segment by segment, a literal goes before a
- * parameter and a parameter before a wildcard. The work of one look-up depends
- * on the segments of the path, not on the number of routes.
+ * Creates a matcher that, segment by segment, prefers a literal to a parameter
+ * and a parameter to a wildcard. The cost of a lookup depends on the segments
+ * of the path, not on the number of routes.
  */
 export function createRouteMatcher<T extends object>(
   entries: readonly RouteEntry<T>[],
@@ -79,19 +82,19 @@
       node.wildcardValue = value;
       return;
     }
-    node = childFor(node, segment);
+    node = getOrCreateChild(node, segment);
   }
   node.value = value;
 }
 
-function childFor<T>(
+function getOrCreateChild<T>(
   node: TrieNode<T>,
   segment: Exclude<PatternSegment, {kind: 'wildcard'}>,
 ): TrieNode<T> {
   if (segment.kind === 'parameter') return (node.parameter ??= {});
   const literals = (node.literals ??= new Map<string, TrieNode<T>>());
-  const known = literals.get(segment.text);
-  if (known !== undefined) return known;
+  const existing = literals.get(segment.text);
+  if (existing !== undefined) return existing;
   const created: TrieNode<T> = {};
   literals.set(segment.text, created);
   return created;
--- a/src/version/route_table.ts
+++ b/src/version/route_table.ts
@@ -10,7 +10,7 @@
   ServiceRoute,
 } from './route_configuration.js';
 
-/** What a route is looked up by. */
+/** The parts of a request that determine its route. */
 export interface RouteQuery {
   readonly method: string;
   /** Value of the `Host` header. */
@@ -19,27 +19,28 @@
   readonly target: string;
 }
 
-/** A compiled version. */
+/** Routes of one compiled configuration version. */
 export interface RouteTable {
   readonly version: number;
   readonly limits: ClientLimits;
-  /** What a node may spend on repeats, if the document names it. */
+  /** Limit on the retries of a node, if the document defines it. */
   readonly retryBudget?: RetryBudget;
-  /** The document, with digests in place of API keys. */
+  /** The document text, with digests in place of API keys. */
   readonly document: string;
   /** Rank of the least important routes. */
   readonly lowestRank: number;
   /** `undefined` if clients need no API key. */
   readonly organisations: OrganisationDirectory | undefined;
-  /** Whether this version knows a service of this name. */
+  /** Whether this version contains a service with this name. */
   hasService(name: string): boolean;
-  /** The route of a request, or `undefined` if none matches. */
+  /** Returns the route of a request, or `undefined` if none matches. */
   match(query: RouteQuery): ServiceRoute | undefined;
 }
 
 /**
- * Compiles a configuration, in which the longest path prefix counts. The document
- * is read only when an operator asks for it.
+ * Compiles a configuration, in which the longest matching path prefix takes
+ * precedence. `readDocument` is called only when an operator requests the
+ * document.
  */
 export function createRouteTable(
   configuration: RouteConfiguration,
@@ -79,7 +80,10 @@
   ]);
 }
 
-/** Longest prefix first, so that the first match is the longest. */
+/**
+ * Sorts the routes of a host by falling prefix length: the first match is the
+ * longest.
+ */
 function groupByHost(
   routes: readonly ServiceRoute[],
 ): ReadonlyMap<string, readonly ServiceRoute[]> {
@@ -95,14 +99,14 @@
   return groups;
 }
 
-/** Host name of a `Host` header, in lower case and without a port. */
+/** Returns the host name of a `Host` header in lower case, without the port. */
 export function hostNameOf(hostHeader: string): string {
   const colon = hostHeader.lastIndexOf(':');
   const name = colon < 0 ? hostHeader : hostHeader.slice(0, colon);
   return name.toLowerCase();
 }
 
-/** Path of a request's target, without the query. */
+/** Returns the path of a request target, without the query. */
 export function pathOf(requestTarget: string): string {
   const query = requestTarget.indexOf('?');
   return query < 0 ? requestTarget : requestTarget.slice(0, query);
--- a/src/version/schema_fields.ts
+++ b/src/version/schema_fields.ts
@@ -1,23 +1,24 @@
 /**
- * Building blocks of the document schemas; each says in words what it accepts.
+ * Field schemas shared by the document schemas. Operators see the description
+ * of a field as its accepted values.
  */
 import * as Schema from 'effect/Schema';
 
 const NAME_PATTERN = /^[a-z][a-z0-9-]{0,62}$/;
 
-/** Smallest and largest accepted value, both included. */
+/** Smallest and largest accepted value, both inclusive. */
 export interface Range {
   readonly minimum: number;
   readonly maximum: number;
 }
 
-/** Lower-case name, usable as a DNS label and as a metric tag. */
+/** Lower-case name, usable as a DNS label and as a metric label. */
 export const nameField = Schema.String.annotate({
   description:
     'a name of 1 to 63 lower-case letters, digits and hyphens that starts with a letter',
 }).check(Schema.isPattern(NAME_PATTERN));
 
-/** Whole number within a range; `unit` is what it counts, in the plural. */
+/** Integer within a range; `unit` is a plural noun for the description. */
 export function integerField(
   range: Range,
   unit?: string,
@@ -28,19 +29,19 @@
   }).check(Schema.isInt(), Schema.isBetween(range));
 }
 
-/** Number within a range that need not be whole. */
+/** Finite number within a range, not necessarily an integer. */
 export function numberField(range: Range, unit: string): Schema.Codec<number> {
   return Schema.Number.annotate({
     description: `a number of ${unit}, ${describeRange(range)}`,
   }).check(Schema.isFinite(), Schema.isBetween(range));
 }
 
-/** Share of a whole. */
+/** Ratio from 0 to 1. */
 export const ratioField = Schema.Number.annotate({
   description: 'a ratio, from 0 to 1',
 }).check(Schema.isFinite(), Schema.isBetween({minimum: 0, maximum: 1}));
 
-/** One of a few words. */
+/** One of a fixed set of strings. */
 export function enumField<const T extends readonly string[]>(
   words: T,
 ): Schema.Codec<T[number]> {
@@ -48,7 +49,10 @@
   return Schema.Literals(words).annotate({description: `one of ${quoted}`});
 }
 
-/** List with a bounded number of items. */
+/**
+ * Array with a limited number of items; `unit` is a plural noun for the
+ * description.
+ */
 export function listField<T, E>(
   item: Schema.Codec<T, E>,
   range: Range,
--- a/src/version/schema_problems.ts
+++ b/src/version/schema_problems.ts
@@ -1,5 +1,5 @@
 /**
- * Translation of schema issues into problems an operator can act on.
+ * Converts schema issues into problems that operators can act on.
  */
 import type * as SchemaAST from 'effect/SchemaAST';
 import type * as SchemaIssue from 'effect/SchemaIssue';
@@ -9,8 +9,8 @@
 type PathSegments = readonly PropertyKey[];
 
 /**
- * Lists the faults in an issue tree, one for each place, in the order of the
- * tree. `input` is the document that was decoded.
+ * Returns the problems of an issue tree in tree order, one for each path.
+ * `input` is the document before decoding.
  */
 export function collectProblems(
   ast: SchemaAST.AST,
@@ -20,7 +20,8 @@
   const problems = new Map<string, Problem>();
   visitIssue(issue, [], (segments, isUnexpected) => {
     const path = formatPath(segments);
-    // Several checks of one field fail together, and all have the same remedy.
+    // Several checks of one field may fail together and have the same
+    // description.
     if (problems.has(path)) return;
     const allowed = isUnexpected
       ? describeFieldNames(astAt(ast, segments.slice(0, -1)))
--- a/test/unit/version/compiled_policy.test.ts
+++ b/test/unit/version/compiled_policy.test.ts
@@ -1,5 +1,5 @@
 /**
- * Compilation of policy documents: every fault in one go, and route look-up.
+ * Compilation of policy documents: all problems at once, and route lookup.
  */
 import test from 'ava';
 import type {Policy} from '../../../src/version/policy.js';
@@ -30,7 +30,7 @@
   t.is(compiled.findService('toString'), undefined);
 });
 
-test('route look-up resolves the class', t => {
+test('route lookup resolves the class', t => {
   const compiled = compileOrThrow(createPolicyBytes(1));
   const order = compiled.findRoute('desk', 'POST', '/orders');
   t.is(order?.route.name, 'place-order');
@@ -96,7 +96,7 @@
   });
 }
 
-test('all faults are told in one go, with value and what is allowed', t => {
+test('all problems are reported at once with the found and the allowed values', t => {
   const document = createPolicyWith(draft => {
     draft.ejection.ejectionMillis = -5;
     draft.services[0]!.routes[0]!.repeat = 'sometimes' as 'never';
--- a/test/unit/version/examples.test.ts
+++ b/test/unit/version/examples.test.ts
@@ -1,5 +1,5 @@
 /**
- * The example documents are accepted and protect what must not run twice.
+ * The example documents are valid and forbid retries of the right routes.
  */
 import {readFileSync} from 'node:fs';
 import test from 'ava';
--- a/test/unit/version/host_list_schema.test.ts
+++ b/test/unit/version/host_list_schema.test.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of the published host list.
+ * Validation of the published host list.
  */
 import test from 'ava';
 import type {PublishedHost} from '../../../src/version/host_list.js';
@@ -24,7 +24,7 @@
   return parse.kind === 'parsed' ? [] : parse.problems.map(({path}) => path);
 }
 
-test('a list is read whole', t => {
+test('a valid list is parsed completely', t => {
   const list = {revision: 4, hosts: [HOST]};
   t.deepEqual(parseHostList(encodeDocument(list)), {kind: 'parsed', list});
 });
--- a/test/unit/version/policy_schema.test.ts
+++ b/test/unit/version/policy_schema.test.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' page says of every field of the schema what is allowed.
+ * The operator documentation lists the allowed values of every schema field.
  */
 import {readFileSync} from 'node:fs';
 import test from 'ava';
@@ -8,7 +8,9 @@
 
 const PAGE_URL = new URL('../../../../docs/operate/policy.md', import.meta.url);
 
-/** Field paths with the text of what is allowed; `[]` stands for any item. */
+/**
+ * Field paths with the description of allowed values; `[]` denotes any item.
+ */
 function listFields(
   ast: SchemaAST.AST,
   path: string,
--- a/test/unit/version/policy_warnings.test.ts
+++ b/test/unit/version/policy_warnings.test.ts
@@ -1,5 +1,5 @@
 /**
- * Warnings of settings that rarely do what their author wants.
+ * Warnings about valid settings that are probably not intended.
  */
 import test from 'ava';
 import type {Policy} from '../../../src/version/policy.js';
@@ -10,7 +10,7 @@
 type Change = (draft: Mutable<Policy>) => void;
 
 const warnings: readonly (readonly [string, Change, readonly string[]])[] = [
-  ['nothing doubtful', () => undefined, []],
+  ['none for valid settings', () => undefined, []],
   [
     'no time is left for a retry after a silent attempt',
     draft => {
@@ -26,7 +26,7 @@
     ['$.services[0].slotsCount'],
   ],
   [
-    'a pattern that allows repeats covers a route that does not',
+    'a pattern that allows retries covers a route that does not',
     draft => {
       const {routes} = draft.services[0]!;
       routes.push({...routes[1]!, name: 'any', method: 'POST', path: '/*'});
--- a/test/unit/version/route_matcher.test.ts
+++ b/test/unit/version/route_matcher.test.ts
@@ -1,6 +1,6 @@
 /**
- * Route look-up: precedence of patterns and paths an upstream may read
- * differently.
+ * Route lookup: precedence of patterns, and paths that an upstream may
+ * interpret differently.
  */
 import test from 'ava';
 import fc from 'fast-check';
@@ -20,7 +20,7 @@
 
 const PATTERNS = ['/', '/a', '/a/b', '/a/:x', '/a/:x/c', '/a/*', '/f/*'];
 
-const lookUps: readonly (readonly [string, string | undefined])[] = [
+const lookups: readonly (readonly [string, string | undefined])[] = [
   ['/', '/'],
   ['/a', '/a'],
   ['/a/b', '/a/b'],
@@ -33,17 +33,16 @@
   ['/unknown', undefined],
 ];
 
-for (const [path, expected] of lookUps) {
-  test(`${path} fits ${String(expected)}`, t => {
+for (const [path, expected] of lookups) {
+  test(`${path} matches ${String(expected)}`, t => {
     t.is(createMatcher(PATTERNS)(path), expected);
   });
 }
 
-// Symptom: an order runs twice though its route must never be repeated.
-// Sequence: a request for `/f/../orders` fits the wildcard route, which allows
-// repeats; the upstream resolves the dots and places an order; the attempt
-// times out and is sent again.
-// Cause: the path was matched as written, not as the upstream reads it.
+// Guards against an order that runs twice although its route must never be
+// retried: `/f/../orders` was matched as written to the wildcard route, which
+// allows retries; the upstream resolved the dots and placed an order, and the
+// attempt timed out and was sent again.
 for (const path of [
   '/f/../orders',
   '/f/%2e%2E/orders',
@@ -72,8 +71,11 @@
     ([texts, isOpen]) => `/${[...texts, ...(isOpen ? ['*'] : [])].join('/')}`,
   );
 
-/** The definition: every segment fits; a wildcard takes one or more. */
-function fits(pattern: readonly PatternSegment[], path: readonly string[]) {
+/**
+ * Reference implementation: every segment matches; a wildcard matches one or
+ * more.
+ */
+function matches(pattern: readonly PatternSegment[], path: readonly string[]) {
   if (pattern.at(-1)?.kind === 'wildcard') {
     if (path.length < pattern.length) return false;
   } else if (path.length !== pattern.length) return false;
@@ -90,7 +92,7 @@
       (candidates, path) => {
         const patterns: string[] = [];
         for (const candidate of candidates) {
-          const isIndistinct = patterns.some(other =>
+          const isAmbiguous = patterns.some(other =>
             ['same', 'ambiguous'].includes(
               comparePatterns(
                 parsePathPattern(candidate),
@@ -98,12 +100,14 @@
               ),
             ),
           );
-          if (!isIndistinct) patterns.push(candidate);
+          if (!isAmbiguous) patterns.push(candidate);
         }
-        const fitting = patterns.filter(p => fits(parsePathPattern(p), path));
+        const matching = patterns.filter(p =>
+          matches(parsePathPattern(p), path),
+        );
         const found = createMatcher(patterns)(`/${path.join('/')}`);
-        const expected = fitting.find(a =>
-          fitting.every(
+        const expected = matching.find(a =>
+          matching.every(
             b =>
               a === b ||
               comparePatterns(parsePathPattern(a), parsePathPattern(b)) ===
@@ -111,7 +115,7 @@
           ),
         );
         t.is(found, expected);
-        t.is(found === undefined, fitting.length === 0);
+        t.is(found === undefined, matching.length === 0);
       },
     ),
     {numRuns: 500, seed: 1},
