--- a/test/unit/platform/decoding.test.ts
+++ b/test/unit/platform/decoding.test.ts
@@ -69,7 +69,7 @@
   });
 });
 
-const BROKEN_DOCUMENTS: ReadonlyArray<readonly [string, string, RegExp]> = [
+const INVALID_DOCUMENTS: ReadonlyArray<readonly [string, string, RegExp]> = [
   ['no JSON', '{', /JSON/],
   ['not an object', '[]', /configuration/],
   ['no hosts', JSON.stringify({...DOCUMENT, virtualHosts: 1}), /virtualHosts/],
@@ -77,8 +77,8 @@
   ['no limits', JSON.stringify({...DOCUMENT, limits: null}), /limits/],
 ];
 
-for (const [title, text, expected] of BROKEN_DOCUMENTS) {
-  test(`a configuration is refused with the field: ${title}`, t => {
+for (const [title, text, expected] of INVALID_DOCUMENTS) {
+  test(`an invalid configuration is rejected with the field: ${title}`, t => {
     t.throws(() => decodeOperatorDocument(text), {message: expected});
   });
 }
@@ -134,7 +134,7 @@
   address: "10.200.1.7:8309"
 `;
 
-test('settings are decoded, unknown fields passed over', t => {
+test('settings are decoded and unknown fields are ignored', t => {
   const settings = decodeSettings(SETTINGS);
   t.like(settings, {
     nodeName: 'sidecar-a-1',
@@ -149,7 +149,7 @@
   t.is(decodeZoneRegions(SETTINGS).get('a'), 'west');
 });
 
-test('settings without a field are refused with its name', t => {
+test('settings with a missing field are rejected with its name', t => {
   const broken = SETTINGS.replace('service: "orders"\n', '');
   t.throws(() => decodeSettings(broken), {message: /service/});
   t.throws(() => decodeSettings('listen: [\n'), {message: /./});
@@ -183,7 +183,7 @@
   t.deepEqual(without.organisations, []);
 });
 
-test('a document with organisations that cannot be told apart is refused without naming a key', t => {
+test('a document with invalid or ambiguous organisations is rejected without exposing a key', t => {
   const broken = [
     [{...TENANT, name: 'a\u0007b'}],
     [{...TENANT, name: ''}],
@@ -200,7 +200,7 @@
   }
 });
 
-test('what operators are shown of a document holds no key', t => {
+test('a document redacted for operators contains no key', t => {
   const shown = redactOperatorDocument(withTenants([TENANT]));
   t.false(/first-key|second-key/.test(shown));
   t.true(shown.includes(apiKeyDigest('first-key').slice(0, 8)));
--- a/test/unit/platform/malformed_documents.test.ts
+++ b/test/unit/platform/malformed_documents.test.ts
@@ -4,7 +4,7 @@
 import {decodeUpstreamEntry} from '../../../platform/upstream_entry.js';
 import {decodeOperatorDocument} from '../../../platform/operator_document.js';
 
-const FACTS = {inboundPort: 8300, regionOfZone: new Map([['a', 'west']])};
+const TOPOLOGY = {inboundPort: 8300, regionOfZone: new Map([['a', 'west']])};
 const KEY = 'servers/i-7';
 
 const ENTRY = {
@@ -47,7 +47,10 @@
 
 type Path = readonly string[];
 
-/** A copy of a document with another value at a path; `undefined` removes it. */
+/**
+ * Returns a copy of a document with the value at a path replaced; `undefined`
+ * removes it.
+ */
 function withValue(document: object, path: Path, value: unknown): string {
   const copy: unknown = structuredClone(document);
   let place = copy as Record<string, unknown>;
@@ -59,21 +62,21 @@
   return JSON.stringify(copy);
 }
 
-/** Path of a field, the name that errors tell, and values that must not pass. */
-type BrokenField = readonly [Path, string, readonly unknown[]];
+/** Path of a field, its name in errors, and values that must be rejected. */
+type InvalidField = readonly [Path, string, readonly unknown[]];
 
-const NO_TEXT = [undefined, null, 7, {}, []];
-const NO_NAME = [...NO_TEXT, '', ' ', 'a b', 'a\n'];
-const NO_COUNT = [undefined, null, '1', 0, -1, 1.5, 1e300, [], {}];
-const NO_DURATION = [undefined, null, '1', 0, -1, 1e9, [], {}];
+const INVALID_STRINGS = [undefined, null, 7, {}, []];
+const INVALID_NAMES = [...INVALID_STRINGS, '', ' ', 'a b', 'a\n'];
+const INVALID_COUNTS = [undefined, null, '1', 0, -1, 1.5, 1e300, [], {}];
+const INVALID_DURATIONS = [undefined, null, '1', 0, -1, 1e9, [], {}];
 
-const BROKEN_ENTRY_FIELDS: readonly BrokenField[] = [
+const INVALID_ENTRY_FIELDS: readonly InvalidField[] = [
   [['born'], 'born', [null, '1', 1.5, -1, 1e300, true, {}]],
   [
     ['address'],
     'address',
     [
-      ...NO_TEXT,
+      ...INVALID_STRINGS,
       '',
       '10.0.0.1',
       ':80',
@@ -90,12 +93,12 @@
     ],
   ],
   [['info'], 'info', [undefined, null, 'x', []]],
-  [['info', 'service'], 'service', NO_NAME],
-  [['info', 'version'], 'version', NO_TEXT],
-  [['info', 'zone'], 'zone', [...NO_TEXT, 'b', '']],
-  [['info', 'slots'], 'slots', NO_COUNT],
+  [['info', 'service'], 'service', INVALID_NAMES],
+  [['info', 'version'], 'version', INVALID_STRINGS],
+  [['info', 'zone'], 'zone', [...INVALID_STRINGS, 'b', '']],
+  [['info', 'slots'], 'slots', INVALID_COUNTS],
   [['status'], 'status', [undefined, null, 'x', []]],
-  [['status', 'state'], 'state', [...NO_TEXT, 'paused', 'READY', '']],
+  [['status', 'state'], 'state', [...INVALID_STRINGS, 'paused', 'READY', '']],
   [['status', 'seq'], 'seq', [undefined, null, '4', -1, 0.5, 1e300]],
   [
     ['status', 'coldLeftS'],
@@ -107,49 +110,53 @@
 const ROUTE = ['virtualHosts', '0', 'paths', '0'];
 const SPLIT = [...ROUTE, 'weightedServices'];
 
-const BROKEN_DOCUMENT_FIELDS: readonly BrokenField[] = [
+const INVALID_DOCUMENT_FIELDS: readonly InvalidField[] = [
   [
     ['version'],
     'version',
-    [...NO_TEXT, '', '1c', '0000001g', '0000000001', '-0000001'],
+    [...INVALID_STRINGS, '', '1c', '0000001g', '0000000001', '-0000001'],
   ],
   [['services'], 'services', [undefined, null, {}, ['orders']]],
-  [['services', '0', 'name'], 'name', NO_NAME],
+  [['services', '0', 'name'], 'name', INVALID_NAMES],
   [['limits'], 'limits', [undefined, null, []]],
-  [['limits', 'maxHeaderBytes'], 'maxHeaderBytes', NO_COUNT],
-  [['limits', 'maxBodyBytes'], 'maxBodyBytes', NO_COUNT],
-  [['limits', 'headerTimeoutS'], 'headerTimeoutS', NO_DURATION],
-  [['limits', 'idleTimeoutS'], 'idleTimeoutS', NO_DURATION],
+  [['limits', 'maxHeaderBytes'], 'maxHeaderBytes', INVALID_COUNTS],
+  [['limits', 'maxBodyBytes'], 'maxBodyBytes', INVALID_COUNTS],
+  [['limits', 'headerTimeoutS'], 'headerTimeoutS', INVALID_DURATIONS],
+  [['limits', 'idleTimeoutS'], 'idleTimeoutS', INVALID_DURATIONS],
   [['virtualHosts'], 'virtualHosts', [undefined, null, {}, [1]]],
-  [['virtualHosts', '0', 'host'], 'host', NO_NAME],
+  [['virtualHosts', '0', 'host'], 'host', INVALID_NAMES],
   [['virtualHosts', '0', 'paths'], 'paths', [undefined, null, {}, [1]]],
-  [[...ROUTE, 'name'], 'name', NO_TEXT],
-  [[...ROUTE, 'prefix'], 'prefix', [...NO_NAME, '/a', 'a/', 'a', '/a/ /']],
-  [[...ROUTE, 'kind'], 'kind', [...NO_TEXT, 'SAFE', 'job', '']],
-  [[...ROUTE, 'timeoutS'], 'timeoutS', NO_DURATION],
-  [[...ROUTE, 'sloS'], 'sloS', NO_DURATION],
+  [[...ROUTE, 'name'], 'name', INVALID_STRINGS],
+  [
+    [...ROUTE, 'prefix'],
+    'prefix',
+    [...INVALID_NAMES, '/a', 'a/', 'a', '/a/ /'],
+  ],
+  [[...ROUTE, 'kind'], 'kind', [...INVALID_STRINGS, 'SAFE', 'job', '']],
+  [[...ROUTE, 'timeoutS'], 'timeoutS', INVALID_DURATIONS],
+  [[...ROUTE, 'sloS'], 'sloS', INVALID_DURATIONS],
   [[...ROUTE, 'priority'], 'priority', [undefined, null, '0', -1, 0.5]],
-  [[...ROUTE, 'maxAttempts'], 'maxAttempts', NO_COUNT],
+  [[...ROUTE, 'maxAttempts'], 'maxAttempts', INVALID_COUNTS],
   [SPLIT, 'weightedServices', ['x', {}, 7, [1]]],
   [SPLIT, 'service', [undefined, null, []]],
-  [[...SPLIT, '0', 'service'], 'service', NO_NAME],
+  [[...SPLIT, '0', 'service'], 'service', INVALID_NAMES],
   [[...SPLIT, '0', 'weight'], 'weight', [undefined, null, '1', -1]],
   [SPLIT, 'weightedServices', [[{service: 'orders', weight: 0}]]],
 ];
 
-for (const [path, field, values] of BROKEN_ENTRY_FIELDS) {
-  test(`an entry with a broken ${path.join('.')} is refused by field`, t => {
+for (const [path, field, values] of INVALID_ENTRY_FIELDS) {
+  test(`an entry with an invalid ${path.join('.')} is rejected by field`, t => {
     for (const value of values) {
       const text = withValue(ENTRY, path, value);
-      t.throws(() => decodeUpstreamEntry(KEY, text, FACTS), {
+      t.throws(() => decodeUpstreamEntry(KEY, text, TOPOLOGY), {
         message: new RegExp(`'${field}'`),
       });
     }
   });
 }
 
-for (const [path, field, values] of BROKEN_DOCUMENT_FIELDS) {
-  test(`a configuration with a broken ${path.join('.')} is refused by field: ${JSON.stringify(values.at(-1))}`, t => {
+for (const [path, field, values] of INVALID_DOCUMENT_FIELDS) {
+  test(`a configuration with an invalid ${path.join('.')} is rejected by field: ${JSON.stringify(values.at(-1))}`, t => {
     for (const value of values) {
       const text = withValue(DOCUMENT, path, value);
       t.throws(() => decodeOperatorDocument(text), {
@@ -159,40 +166,42 @@
   });
 }
 
-test('an entry may tell its birth, and a host of any form', t => {
+test('an entry may contain its start time and a host in any format', t => {
   const decode = (path: Path, value: unknown) =>
-    decodeUpstreamEntry(KEY, withValue(ENTRY, path, value), FACTS);
+    decodeUpstreamEntry(KEY, withValue(ENTRY, path, value), TOPOLOGY);
   t.is(decode(['born'], 5).bornMillis, 5);
   t.is(decode(['born'], undefined).bornMillis, undefined);
   t.is(decode(['address'], 'host-1.example:80').node.address, 'host-1.example');
   t.is(decode(['address'], '[fd00::1]:80').node.address, 'fd00::1');
 });
 
-test('an id that no header can carry is refused', t => {
+test('an id that cannot be sent in a header is rejected', t => {
   const text = JSON.stringify(ENTRY);
   for (const id of ['', 'a b', 'a\r\nx: y', 'é', 'a/b']) {
-    t.throws(() => decodeUpstreamEntry(`servers/${id}`, text, FACTS), {
+    t.throws(() => decodeUpstreamEntry(`servers/${id}`, text, TOPOLOGY), {
       message: /'key'/,
     });
   }
 });
 
-/** A sound document with some of its fields replaced by anything. */
-function spoilt(document: object, fields: readonly BrokenField[]) {
+/** Generates a valid document with some fields replaced by random values. */
+function withRandomFields(document: object, fields: readonly InvalidField[]) {
   const paths = fields.map(([path]) => path);
   return fc
     .array(fc.tuple(fc.constantFrom(...paths), fc.jsonValue()), {maxLength: 3})
     .map(changes => {
       let text = JSON.stringify(document);
       for (const [path, value] of changes) {
-        text = replacedAt(text, path, value);
+        text = replaceIfPresent(text, path, value);
       }
       return text;
     });
 }
 
-/** An earlier change may have taken away what a path leads through. */
-function replacedAt(text: string, path: Path, value: unknown): string {
+/**
+ * Returns the text unchanged if an earlier change removed a parent of the path.
+ */
+function replaceIfPresent(text: string, path: Path, value: unknown): string {
   try {
     return withValue(JSON.parse(text) as object, path, value);
   } catch {
@@ -200,9 +209,9 @@
   }
 }
 
-function anyText(document: object, fields: readonly BrokenField[]) {
+function arbitraryText(document: object, fields: readonly InvalidField[]) {
   return fc.oneof(
-    {arbitrary: spoilt(document, fields), weight: 5},
+    {arbitrary: withRandomFields(document, fields), weight: 5},
     fc.json(),
     fc.string({unit: 'binary'}),
     fc
@@ -213,51 +222,57 @@
 
 const documents = createPublishedDocuments(
   {address: '127.0.0.1', port: 1},
-  FACTS,
+  TOPOLOGY,
 );
 
-/** The seed found a time that is finite in seconds and not in milliseconds. */
+/**
+ * This seed found a duration that is finite in seconds but not in milliseconds.
+ */
 const PROPERTY_RUN = {numRuns: 2000, seed: 301_683_169};
 
-test('no entry throws past the adapter or yields a field that cannot be used', t => {
+test('no entry causes an uncaught error or yields an invalid field', t => {
   let validCount = 0;
   const key = fc.oneof(
     {arbitrary: fc.constant(KEY), weight: 4},
     fc.string({unit: 'binary'}),
   );
   fc.assert(
-    fc.property(key, anyText(ENTRY, BROKEN_ENTRY_FIELDS), (name, text) => {
-      const decoded = documents.decodeUpstreams({
-        key: name,
-        revision: 1,
-        text,
-      });
-      if (decoded.kind !== 'valid') return decoded.kind === 'invalid';
-      validCount += 1;
-      return decoded.value.every(
-        entry =>
-          entry.id.length > 0 &&
-          entry.service.length > 0 &&
-          FACTS.regionOfZone.get(entry.zone) === entry.region &&
-          entry.node.address.length > 0 &&
-          Number.isSafeInteger(entry.slotsCount) &&
-          entry.slotsCount >= 1 &&
-          Number.isFinite(entry.coldLeftMillis) &&
-          entry.coldLeftMillis >= 0 &&
-          Number.isSafeInteger(entry.sequenceNumber) &&
-          (entry.bornMillis === undefined ||
-            Number.isSafeInteger(entry.bornMillis)),
-      );
-    }),
+    fc.property(
+      key,
+      arbitraryText(ENTRY, INVALID_ENTRY_FIELDS),
+      (name, text) => {
+        const decoded = documents.decodeUpstreams({
+          key: name,
+          revision: 1,
+          text,
+        });
+        if (decoded.kind !== 'valid') return decoded.kind === 'invalid';
+        validCount += 1;
+        return decoded.value.every(
+          entry =>
+            entry.id.length > 0 &&
+            entry.service.length > 0 &&
+            TOPOLOGY.regionOfZone.get(entry.zone) === entry.region &&
+            entry.node.address.length > 0 &&
+            Number.isSafeInteger(entry.slotsCount) &&
+            entry.slotsCount >= 1 &&
+            Number.isFinite(entry.coldLeftMillis) &&
+            entry.coldLeftMillis >= 0 &&
+            Number.isSafeInteger(entry.sequenceNumber) &&
+            (entry.bornMillis === undefined ||
+              Number.isSafeInteger(entry.bornMillis)),
+        );
+      },
+    ),
     PROPERTY_RUN,
   );
   t.true(validCount > 100);
 });
 
-test('no configuration throws past the adapter or yields an unusable route', t => {
+test('no configuration causes an uncaught error or yields an invalid route', t => {
   let validCount = 0;
   fc.assert(
-    fc.property(anyText(DOCUMENT, BROKEN_DOCUMENT_FIELDS), text => {
+    fc.property(arbitraryText(DOCUMENT, INVALID_DOCUMENT_FIELDS), text => {
       const decoded = documents.decodeConfiguration({
         key: 'op/config',
         revision: 1,
@@ -287,7 +302,7 @@
   t.true(validCount > 100);
 });
 
-test('what is no text or no JSON names the document, not its content', t => {
+test('the error for invalid text or JSON names the document, not its content', t => {
   for (const text of ['', '{', '\ufffd', 'null', '[]', '"x"']) {
     const decoded = documents.decodeUpstreams({key: KEY, revision: 1, text});
     t.like(decoded, {kind: 'invalid', field: 'entry'});
--- a/test/unit/platform/store_client.test.ts
+++ b/test/unit/platform/store_client.test.ts
@@ -2,9 +2,9 @@
 import {createStoreClient} from '../../../platform/store_client.js';
 import {createStandInStore} from '../../fakes/stand_in_store.js';
 
-test('pages from before and after the store was restored are no list', async t => {
-  // A node used an upstream that the restored store did not hold. Its list had two
-  // pages, and the store came back from an older copy between them.
+test('pages from before and after a restore of the store are not combined', async t => {
+  // A node used an upstream that the restored store did not hold: its list had
+  // two pages, and the store was restored from an older copy between them.
   const store = createStandInStore();
   t.teardown(store.close);
   const {port} = await store.openEntrance();
