--- a/test/contract/platform_api_keys.test.ts
+++ b/test/contract/platform_api_keys.test.ts
@@ -28,23 +28,30 @@
 
 const PATHS = [SAFE_PATH, ORDER_PATH, PUBLIC_PATH];
 
-interface Seen {
+interface SeenRequest {
   readonly id: string;
   readonly headers: http.IncomingHttpHeaders;
 }
 
-/** A fleet of `atlas` and `orders`, whose upstream of `orders` tells what it gets. */
-async function startKeyedFleet(
+/**
+ * Starts a fleet of `atlas` and `orders` whose `orders` upstream records
+ * requests.
+ */
+async function startFleetWithKeys(
   t: ExecutionContext,
   {tenants}: Pick<FleetOptions, 'tenants'> = {tenants: [ACME, GLOBEX]},
-): Promise<{fleet: PlatformFleet; atlas: FleetHost; seen: readonly Seen[]}> {
+): Promise<{
+  fleet: PlatformFleet;
+  atlas: FleetHost;
+  seen: readonly SeenRequest[];
+}> {
   const fleet = await startFleet(t, {
     services: ['atlas', 'orders'],
     paths: PATHS,
     ...(tenants === undefined ? {} : {tenants}),
   });
   const [atlas, orders] = fleet.hosts;
-  const seen: Seen[] = [];
+  const seen: SeenRequest[] = [];
   orders!.backend.setBehaviour(request => {
     seen.push({id: request.attemptId, headers: request.headers});
     request.answer(200, 'served');
@@ -52,7 +59,7 @@
   return {fleet, atlas: atlas!, seen};
 }
 
-function keyed(request: ClientRequest, key: string): ClientRequest {
+function withKey(request: ClientRequest, key: string): ClientRequest {
   const headers = {...request.headers, authorization: `Bearer ${key}`};
   return {...request, headers};
 }
@@ -61,24 +68,24 @@
   return {attemptId, path};
 }
 
-/** Waits until all nodes have this version in force. */
+/** Waits until this version is active on all nodes. */
 async function awaitVersion(
   fleet: PlatformFleet,
   version: number,
 ): Promise<void> {
-  await waitUntil('version in force', () =>
+  await waitUntil('version active', () =>
     fleet.hosts.every(({node}) => node.configuration()?.version === version),
   );
 }
 
-test('an upstream learns the organisation of a key, never the key', async t => {
-  const {fleet, atlas, seen} = await startKeyedFleet(t);
+test('an upstream receives the organisation of a key, never the key', async t => {
+  const {fleet, atlas, seen} = await startFleetWithKeys(t);
   const order = {attemptId: 'c3', method: 'POST', path: '/order/1', body: 'x'};
-  await fleet.send(atlas, keyed(read('c1'), ACME_KEY));
-  await fleet.send(atlas, keyed(read('c2'), ACME_SECOND_KEY));
-  await fleet.send(atlas, keyed(order, GLOBEX_KEY));
-  await fleet.send(atlas, keyed(read('c4', '/open/1'), GLOBEX_KEY));
-  await fleet.send(atlas, keyed(read('c5', '/open/1'), 'unknown'));
+  await fleet.send(atlas, withKey(read('c1'), ACME_KEY));
+  await fleet.send(atlas, withKey(read('c2'), ACME_SECOND_KEY));
+  await fleet.send(atlas, withKey(order, GLOBEX_KEY));
+  await fleet.send(atlas, withKey(read('c4', '/open/1'), GLOBEX_KEY));
+  await fleet.send(atlas, withKey(read('c5', '/open/1'), 'unknown'));
   t.deepEqual(
     seen.map(({headers}) => headers['tenant']),
     ['acme', 'acme', 'globex', 'globex', undefined],
@@ -87,8 +94,8 @@
   t.false(JSON.stringify(seen).includes(ACME_KEY));
 });
 
-test('a request without a usable key is refused and not run', async t => {
-  const {fleet, atlas, seen} = await startKeyedFleet(t);
+test('a request without a valid key is rejected and not run', async t => {
+  const {fleet, atlas, seen} = await startFleetWithKeys(t);
   const unusable: readonly (readonly string[])[] = [
     [],
     ['authorization: Bearer unknown'],
@@ -130,8 +137,8 @@
   );
 });
 
-test('an organisation that a client names itself never arrives', async t => {
-  const {fleet, atlas, seen} = await startKeyedFleet(t);
+test('an organisation header sent by a client is not forwarded', async t => {
+  const {fleet, atlas, seen} = await startFleetWithKeys(t);
   const client = await connectRawClient(t, atlas.address, fleet.outboundPort);
   const forged = ['Tenant: globex', 'tenant: globex', 'TENANT: globex'];
   client.ask('c1', '/a/1', [...forged, `authorization: Bearer ${ACME_KEY}`]);
@@ -163,56 +170,71 @@
       request.answer(answer.statusCode, '');
     });
   });
-  const answer = await fleet.send(atlas!, keyed(read('c1'), ACME_KEY));
+  const answer = await fleet.send(atlas!, withKey(read('c1'), ACME_KEY));
   t.is(answer.statusCode, 200);
   t.deepEqual(tenants, ['acme']);
-  // An id that merely looks like that of a call gives no access.
+  // An id that only resembles that of a call grants no access.
   const forged = await fleet.send(orders!, read('zz.1', '/t/1'));
   t.is(forged.statusCode, 401);
 });
 
-test('a key that a version takes away is refused from then on', async t => {
-  const {fleet, atlas, seen} = await startKeyedFleet(t);
-  t.is((await fleet.send(atlas, keyed(read('c1'), ACME_KEY))).statusCode, 200);
+test('a key that a version removes is rejected from then on', async t => {
+  const {fleet, atlas, seen} = await startFleetWithKeys(t);
+  t.is(
+    (await fleet.send(atlas, withKey(read('c1'), ACME_KEY))).statusCode,
+    200,
+  );
   const reduced = {...ACME, apiKeys: [ACME_SECOND_KEY]};
   fleet.configure(PATHS, {tenants: [reduced, GLOBEX]});
   await awaitVersion(fleet, 2);
-  t.is((await fleet.send(atlas, keyed(read('c2'), ACME_KEY))).statusCode, 401);
-  const second = await fleet.send(atlas, keyed(read('c3'), ACME_SECOND_KEY));
+  t.is(
+    (await fleet.send(atlas, withKey(read('c2'), ACME_KEY))).statusCode,
+    401,
+  );
+  const second = await fleet.send(atlas, withKey(read('c3'), ACME_SECOND_KEY));
   t.is(second.statusCode, 200);
-  // An older version, read late, does not bring the key back.
+  // An older version that is read late does not restore the key.
   fleet.configure(PATHS, {tenants: [ACME, GLOBEX], version: 1});
   await waitUntil('older version read', () =>
     atlas.events.some(({event}) => event === 'configuration-not-newer'),
   );
-  t.is((await fleet.send(atlas, keyed(read('c4'), ACME_KEY))).statusCode, 401);
+  t.is(
+    (await fleet.send(atlas, withKey(read('c4'), ACME_KEY))).statusCode,
+    401,
+  );
   t.deepEqual(
     seen.map(({id}) => id),
     ['c1', 'c3'],
   );
 });
 
-test('a key added by a version serves with it', async t => {
-  const {fleet, atlas} = await startKeyedFleet(t, {tenants: [GLOBEX]});
-  t.is((await fleet.send(atlas, keyed(read('c1'), ACME_KEY))).statusCode, 401);
+test('a key added by a version is accepted with it', async t => {
+  const {fleet, atlas} = await startFleetWithKeys(t, {tenants: [GLOBEX]});
+  t.is(
+    (await fleet.send(atlas, withKey(read('c1'), ACME_KEY))).statusCode,
+    401,
+  );
   fleet.configure(PATHS, {tenants: [ACME, GLOBEX]});
   await awaitVersion(fleet, 2);
-  t.is((await fleet.send(atlas, keyed(read('c2'), ACME_KEY))).statusCode, 200);
+  t.is(
+    (await fleet.send(atlas, withKey(read('c2'), ACME_KEY))).statusCode,
+    200,
+  );
 });
 
-test('a node without a configuration promises to serve later instead of refusing a key', async t => {
+test('a node without a configuration responds with retry-after instead of rejecting a key', async t => {
   const fleet = await startFleet(t, {services: ['orders']});
   const [host] = fleet.hosts;
   t.false(isReady(host!));
-  const answer = await fleet.send(host!, keyed(read('c1'), ACME_KEY));
+  const answer = await fleet.send(host!, withKey(read('c1'), ACME_KEY));
   t.is(answer.statusCode, 503);
   t.true(Number(answer.headers['retry-after']) > 0);
 });
 
-test('keys are in nothing that a node logs or shows', async t => {
-  const {fleet, atlas} = await startKeyedFleet(t);
-  await fleet.send(atlas, keyed(read('c1'), ACME_KEY));
-  await fleet.send(atlas, keyed(read('c2'), 'unknownkeyofaclient'));
+test('keys are in no log line, state or metric of a node', async t => {
+  const {fleet, atlas} = await startFleetWithKeys(t);
+  await fleet.send(atlas, withKey(read('c1'), ACME_KEY));
+  await fleet.send(atlas, withKey(read('c2'), 'unknownkeyofaclient'));
   const twice = {...GLOBEX, apiKeys: [ACME_KEY]};
   fleet.configure(PATHS, {tenants: [ACME, twice]});
   await waitUntil('invalid', () =>
@@ -231,8 +253,8 @@
   }
 });
 
-test('without organisations the header of credentials passes like any other', async t => {
-  const {fleet, atlas, seen} = await startKeyedFleet(t, {});
-  await fleet.send(atlas, keyed(read('c1'), ACME_KEY));
+test('without organisations the authorization header is forwarded like any other', async t => {
+  const {fleet, atlas, seen} = await startFleetWithKeys(t, {});
+  await fleet.send(atlas, withKey(read('c1'), ACME_KEY));
   t.is(seen[0]?.headers.authorization, `Bearer ${ACME_KEY}`);
 });
--- a/test/contract/platform_malformed_entries.test.ts
+++ b/test/contract/platform_malformed_entries.test.ts
@@ -7,7 +7,10 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** A sound entry of an upstream of `orders`, but for what is given. */
+/**
+ * Returns an entry of an `orders` upstream that is valid except for the given
+ * fields.
+ */
 function entryText(address: string, fields: Fields, status: Fields = {}) {
   const {info, ...rest} = fields;
   return JSON.stringify({
@@ -24,8 +27,10 @@
   });
 }
 
-/** What another writer may leave, with the field that is named in the log. */
-const FOREIGN_ENTRIES: ReadonlyArray<
+/**
+ * Malformed entries that another writer may leave, with the field in the log.
+ */
+const MALFORMED_ENTRIES: ReadonlyArray<
   readonly [string, string, (address: string) => string | undefined]
 > = [
   [
@@ -52,7 +57,7 @@
   ],
   ['no port', 'address', at => base64Of(entryText(at.replace(/:.*/, ''), {}))],
   [
-    'a birth as text',
+    'a start time as text',
     'born',
     at => base64Of(entryText(at, {born: '1790000000000'})),
   ],
@@ -68,8 +73,12 @@
   ['no value', 'entry', () => undefined],
 ];
 
-/** Whether a node told of a broken entry under a key. */
-function hasTold(host: FleetHost, key: string, field: string): boolean {
+/** Whether a node logged an invalid entry with this key and field. */
+function hasLoggedInvalid(
+  host: FleetHost,
+  key: string,
+  field: string,
+): boolean {
   return host.events.some(
     ({event, fields}) =>
       event === 'upstream-invalid' &&
@@ -78,7 +87,7 @@
   );
 }
 
-/** Sends reads one after the other, and tells the status of each. */
+/** Sends reads one after the other and returns their status codes. */
 async function statusesOf(
   fleet: PlatformFleet,
   from: FleetHost,
@@ -94,12 +103,12 @@
 }
 
 const SERVED = [200, 200, 200, 200, 200];
-const REFUSED = [503, 503, 503, 503, 503];
+const REJECTED = [503, 503, 503, 503, 503];
 
-test('an entry of another writer names no upstream, and the others hold', async t => {
-  // Symptom: requests are sent to a host that serves nothing, or one entry keeps
-  // a node from reading all others. Cause: what the entry says is used without a
-  // check. The host of `spare` stands for what such an entry may name.
+test('a malformed entry of another writer is ignored and the others stay in use', async t => {
+  // Guards against entries that are used without validation: requests are sent
+  // to a host that serves nothing, or one entry keeps a node from reading all
+  // others. The `spare` host is the address in these entries.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders', 'spare'],
     paths: [SAFE_PATH],
@@ -107,39 +116,39 @@
   const [shop, orders, spare] = fleet.hosts;
   const address = `${spare!.address}:${String(fleet.appPort)}`;
   fleet.withdraw(spare!);
-  for (const [title, field, valueOf] of FOREIGN_ENTRIES) {
+  for (const [title, field, valueOf] of MALFORMED_ENTRIES) {
     const key = `servers/${title.replaceAll(' ', '-')}`;
     fleet.store.putRaw(key, valueOf(address));
-    await waitUntil(title, () => hasTold(shop!, key, field));
+    await waitUntil(title, () => hasLoggedInvalid(shop!, key, field));
     t.deepEqual(await statusesOf(fleet, shop!, 5), SERVED, title);
     t.is(spare!.backend.runIds.length, 0, title);
   }
-  t.is(orders!.backend.runIds.length, FOREIGN_ENTRIES.length * SERVED.length);
+  t.is(orders!.backend.runIds.length, MALFORMED_ENTRIES.length * SERVED.length);
   const metrics = await shop!.metrics.text();
-  const count = String(FOREIGN_ENTRIES.length);
+  const count = String(MALFORMED_ENTRIES.length);
   t.true(metrics.includes(`invalid_documents_total{kind="upstream"} ${count}`));
 });
 
-test('an entry of a service that no configuration names waits for it', async t => {
-  // The store may tell a node of an upstream before it tells of the version that
-  // names its service; an entry that was dropped would not be written again.
+test('an entry of a service without a configuration is kept until there is one', async t => {
+  // The store may deliver an upstream before the version that contains its
+  // service; a dropped entry would not be written again.
   const fleet = await startFleet(t, {
     services: ['shop', 'later'],
     namedServices: ['shop'],
     paths: [SAFE_PATH],
   });
   const [shop, later] = fleet.hosts;
-  await waitUntil('told', () =>
+  await waitUntil('logged', () =>
     shop!.events.some(
       ({event, fields}) =>
         event === 'upstream-unnamed' &&
         fields['upstream'] === later!.backend.id,
     ),
   );
-  t.deepEqual(await statusesOf(fleet, shop!, 5), REFUSED);
+  t.deepEqual(await statusesOf(fleet, shop!, 5), REJECTED);
   fleet.configure([{...SAFE_PATH, service: 'later'}]);
   await waitUntil(
-    'in force',
+    'active',
     () =>
       shop!.events.filter(({event}) => event === 'configuration-accepted')
         .length === 2,
@@ -147,9 +156,10 @@
   t.deepEqual(await statusesOf(fleet, shop!, 5), SERVED);
 });
 
-test('a known upstream outlives an entry of another writer under its key', async t => {
-  // Symptom: a service is gone for a second, as somebody wrote over its entries.
-  // Cause: an entry that says nothing was taken for one that the upstream left.
+test('a malformed entry under the key of a known upstream does not remove it', async t => {
+  // Guards against the loss of a service for a second when its entries are
+  // overwritten: an unreadable entry was treated as the removal of the
+  // upstream.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
@@ -157,9 +167,9 @@
   const [shop, orders] = fleet.hosts;
   const key = `servers/${orders!.backend.id}`;
   fleet.store.putRaw(key, base64Of('{"state":'));
-  await waitUntil('told', () => hasTold(shop!, key, 'entry'));
+  await waitUntil('logged', () => hasLoggedInvalid(shop!, key, 'entry'));
   t.deepEqual(await statusesOf(fleet, shop!, 5), SERVED);
-  // A removal is the platform's own word, and holds at once.
+  // A removal comes from the platform and takes effect immediately.
   fleet.withdraw(orders!);
   await waitUntil('left', () =>
     shop!.events.some(
@@ -167,22 +177,23 @@
         event === 'upstream-left' && fields['upstream'] === orders!.backend.id,
     ),
   );
-  t.deepEqual(await statusesOf(fleet, shop!, 5), REFUSED);
+  t.deepEqual(await statusesOf(fleet, shop!, 5), REJECTED);
 });
 
-test('a broken configuration leaves the accepted one in force', async t => {
+test('an invalid configuration leaves the accepted one active', async t => {
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
   });
   const [shop] = fleet.hosts;
-  const toldCount = (): number =>
+  const loggedCount = (): number =>
     shop!.events.filter(({event}) => event === 'configuration-invalid').length;
   fleet.configure([{...SAFE_PATH, prefix: '/a', maxAttempts: 0}]);
-  // A node that is told by another one gets the last of two quick writes alone.
-  await waitUntil('the first told', () => toldCount() === 1);
+  // A node that receives documents from a peer gets only the last of two quick
+  // writes.
+  await waitUntil('the first logged', () => loggedCount() === 1);
   fleet.store.putRaw('op/config', '%%%');
-  await waitUntil('both told', () => toldCount() === 2);
+  await waitUntil('both logged', () => loggedCount() === 2);
   t.deepEqual(await statusesOf(fleet, shop!, 5), SERVED);
   const metrics = await shop!.metrics.text();
   t.regex(metrics, /invalid_documents_total\{kind="configuration"\} 2/);
--- a/test/contract/platform_quotas.test.ts
+++ b/test/contract/platform_quotas.test.ts
@@ -17,7 +17,10 @@
 };
 const UNLIMITED = {name: 'globex', apiKeys: [OTHER_KEY], priority: 0};
 
-/** Requests of an organisation that may run in five seconds, with all tolerance. */
+/**
+ * Requests of an organisation that may run in five seconds, including
+ * tolerances.
+ */
 const BOUND_COUNT = (20 * 5 + 20) * 1.25 + 20;
 
 const SERVICES = ['atlas', 'orders', 'orders', 'atlas'];
@@ -27,7 +30,7 @@
   readonly answer: ClientAnswer;
 }
 
-/** Sends requests through all nodes in turn, one every so many milliseconds. */
+/** Sends requests to all nodes in turn, ten every 25 milliseconds. */
 async function sendInTurn(
   fleet: PlatformFleet,
   {key, count, path = '/a/1'}: {key: string; count: number; path?: string},
@@ -53,7 +56,7 @@
   return fleet.hosts.flatMap(host => host.backend.runIds);
 }
 
-test('requests of an organisation over its quota are refused by all nodes together', async t => {
+test('all nodes together reject requests of an organisation over its quota', async t => {
   const fleet = await startFleet(t, {
     services: SERVICES,
     paths: [SAFE_PATH],
@@ -85,7 +88,8 @@
     paths: [fleetPath({priority: 2}), ORDER_PATH],
     tenants: [{...LIMITED, ratePerS: 100}],
   });
-  // Until the quota is found to be exceeded, reads and orders are served alike.
+  // Reads and orders are served alike until the excess over the quota is
+  // detected.
   await sendInTurn(fleet, {key: KEY, count: 250});
   const [reads, orders] = await Promise.all([
     sendInTurn(fleet, {key: KEY, count: 800}),
--- a/test/contract/platform_restored_processes.test.ts
+++ b/test/contract/platform_restored_processes.test.ts
@@ -1,5 +1,5 @@
 /**
- * Nodes as processes of their own beside a store that comes back from an older copy.
+ * Node processes with a store that is restored from an older copy.
  */
 import test from 'ava';
 import {
@@ -10,7 +10,7 @@
 } from '../fakes/process_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
-test('processes go on from a copy, twice in a row, with one cut off and one restarted', async t => {
+test('processes recover from two restores of the store, one disconnected and one restarted', async t => {
   const fleet = await startProcessFleet(t, [
     'shop',
     'orders',
--- a/test/contract/platform_stop.test.ts
+++ b/test/contract/platform_stop.test.ts
@@ -8,9 +8,9 @@
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
-test('a node that stops finishes what it holds', async t => {
-  // Symptom: a planned restart cuts answers off. Cause: the process ends while
-  // its upstream still works.
+test('a stopping node finishes its requests in flight', async t => {
+  // Guards against responses cut off by a planned restart: the process ended
+  // while its upstream was still working.
   const fleet = await startFleet(t, {
     services: ['orders', 'orders'],
     paths: [SAFE_PATH],
@@ -25,7 +25,7 @@
     });
   }
   const pending = fleet.send(first!, {attemptId: 'held', path: '/a/1'});
-  await waitUntil('at work', () => release.length === 1);
+  await waitUntil('in flight', () => release.length === 1);
   const stopped = first!.node.stop();
   t.false(isReady(first!));
   for (const finish of release) finish();
@@ -43,11 +43,11 @@
   await stopped;
 });
 
-test('a node that stops under a steady press of clients loses no answer', async t => {
-  // Symptom: connections end without an answer beside planned restarts.
-  // Sequence: most nodes of a zone stop at once, so that clients keep coming to
-  // nodes that are not ready; the node is never idle and ends at the end of its
-  // grace with requests in progress. Cause: it accepted connections to the last.
+test('a node that stops under constant load loses no response', async t => {
+  // Guards against connections that end without a response at planned restarts:
+  // most nodes of a zone stop at once, so that clients keep connecting to nodes
+  // that are not ready; the node is never idle and ends at the end of its grace
+  // period with requests in flight. It accepted connections until it ended.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
@@ -62,7 +62,7 @@
   const resetIds: string[] = [];
   const readRequests = recordReadRequests(t);
   let sentCount = 0;
-  const press = setInterval(() => {
+  const loadTimer = setInterval(() => {
     sentCount += 1;
     const attemptId = `p${String(sentCount)}`;
     fleet.send(shop!, {attemptId, path: '/a/1'}).then(
@@ -74,14 +74,14 @@
     );
   }, 10);
   t.teardown(() => {
-    clearInterval(press);
+    clearInterval(loadTimer);
   });
   await waitUntil('answered', () => endings.length > 20);
   await shop!.node.stop();
-  // The process ends here, and with it what it has read and not yet answered.
+  // The process ends here; requests that it has read but not answered are lost.
   t.like(shop!.node.state(), {node: {busyCount: 0}});
   await waitUntil('refused', () => endings.includes('ECONNREFUSED'));
-  clearInterval(press);
+  clearInterval(loadTimer);
   await waitUntil('all ended', () => endings.length === sentCount);
   const readIds = readRequests.map(({headers}) => headers['attempt-id']);
   t.deepEqual(
@@ -91,10 +91,10 @@
   t.deepEqual([...new Set(endings)].sort(), ['ECONNREFUSED', 'answered']);
 });
 
-test('a request on a connection opened before the end is answered', async t => {
-  // Symptom: a planned restart cuts an answer off although the node was idle.
-  // A client connects, the node finds itself idle and ends, and the request
-  // comes in between. Cause: the process ended without looking again.
+test('a request on a connection opened before the process ends is answered', async t => {
+  // Guards against a response cut off by a planned restart although the node
+  // was idle: a client connects, the node detects that it is idle and ends, and
+  // the request arrives in between. The process ended without checking again.
   const fleet = await startFleet(t, {services: ['orders'], paths: [SAFE_PATH]});
   const [host] = fleet.hosts;
   const socket = net.connect(fleet.outboundPort, host!.address);
--- a/test/contract/platform_stop_bodies.test.ts
+++ b/test/contract/platform_stop_bodies.test.ts
@@ -11,7 +11,7 @@
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
-/** After the notice to clients, and after what is at work was given up. */
+/** After clients were notified, and after requests in flight were abandoned. */
 const LATE_MILLIS = [4000, 5300];
 
 const SHOP_PATH = fleetPath({
@@ -37,12 +37,12 @@
 }
 
 for (const lateMillis of LATE_MILLIS) {
-  test(`an order whose body comes ${String(lateMillis)} ms after the signal is not passed on`, async t => {
-    // An order was lost at a planned stop. Its header came a second after the
-    // signal and its body 4.3 s later; it was passed on 5.308 s after the signal,
-    // when what was at work had been given up already, and the process ended at
-    // 5.5 s without an answer. Whether it was taken had been asked once, at its
-    // header.
+  test(`an order whose body arrives ${String(lateMillis)} ms after the signal is not forwarded`, async t => {
+    // An order was lost at a planned stop. Its header arrived a second after
+    // the signal and its body 4.3 s later; it was forwarded 5.308 s after the
+    // signal, when requests in flight had already been abandoned, and the
+    // process ended at 5.5 s without a response. Whether to accept it had been
+    // checked only at its header.
     const {fleet, shop, orders} = await startTwoHosts(t);
     orders.backend.setBehaviour(() => undefined);
     const socket = net.connect(fleet.outboundPort, shop.address);
@@ -60,24 +60,24 @@
     await sleep(lateMillis - 1000);
     socket.write('x');
     await stopped;
-    // What the node has sent by now may still be on its way.
+    // Data that the node has already sent may still be in transit.
     await waitUntil('closed', () => socket.closed);
     t.deepEqual(orders.backend.runIds, []);
     t.regex(received, /HTTP\/1\.1 503 /);
   });
 }
 
-test('a call of the own upstream that comes as its node ends is not passed on', async t => {
-  // A call came 5.35 s after the signal, was passed on at 5.355 s, and the
-  // process ended at 5.51 s without an answer: calls of the own upstream were
-  // taken to the very last.
+test('a call of the own upstream that arrives as its node ends is not forwarded', async t => {
+  // A call arrived 5.35 s after the signal, was forwarded at 5.355 s, and the
+  // process ended at 5.51 s without a response: calls of the own upstream were
+  // accepted until the process ended.
   const {fleet, shop, orders} = await startTwoHosts(t);
   const held: ReceivedRequest[] = [];
   shop.backend.setBehaviour(request => {
     held.push(request);
   });
   const parent = fleet.send(orders, {attemptId: 'held', path: '/shop/1'});
-  await waitUntil('at work', () => held.length === 1);
+  await waitUntil('in flight', () => held.length === 1);
   orders.backend.setBehaviour(() => undefined);
   const stopped = shop.node.stop();
   await sleep(5000);
--- a/test/contract/platform_stop_late.test.ts
+++ b/test/contract/platform_stop_late.test.ts
@@ -8,19 +8,22 @@
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
-/** By now clients have been told for seconds that this host is not ready. */
+/** By this time the host has reported for seconds that it is not ready. */
 const LATE_MILLIS = 2700;
 
-/** After so many answers a node knows how long one usually takes. */
+/** Responses after which a node has an estimate of the usual latency. */
 const ATTEMPTS_UNTIL_LEARNED = 60;
 
-/** Much longer than answers on one host take, and than the least patience. */
+/**
+ * Much longer than responses take on one host, and than the shortest attempt
+ * timeout.
+ */
 const UNUSUAL_MILLIS = 700;
 
-/** Objective of the usual routes. */
+/** Latency objective of the default routes. */
 const OBJECTIVE_SECONDS = 2;
 
-/** A route to the upstream beside the node that stops. */
+/** Route to the upstream on the host of the stopping node. */
 const SHOP_PATH = fleetPath({
   name: 'r-3',
   prefix: '/shop/',
@@ -28,20 +31,27 @@
   timeoutS: 20,
 });
 
-/** A fleet whose first node stops while its own upstream is at work. */
+/**
+ * A fleet whose first node stops while its own upstream processes a request.
+ */
 interface StoppingFleet {
   readonly fleet: PlatformFleet;
   readonly shop: FleetHost;
   readonly orders: FleetHost;
-  /** What the own upstream of the stopping node works on. */
-  readonly atWork: ReceivedRequest;
-  /** Resolves with what another host's client got of it. */
-  readonly atWorkAnswer: Promise<number>;
-  /** Ends as the process would. */
+  /** Request that the own upstream of the stopping node processes. */
+  readonly requestInFlight: ReceivedRequest;
+  /**
+   * Resolves with the status code that a client on another host receives for
+   * it.
+   */
+  readonly inFlightStatusCode: Promise<number>;
+  /** Resolves when the process would end. */
   readonly stopped: Promise<'stopped'>;
 }
 
-async function stopWhileAtWork(t: ExecutionContext): Promise<StoppingFleet> {
+async function stopWithRequestInFlight(
+  t: ExecutionContext,
+): Promise<StoppingFleet> {
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH, SHOP_PATH],
@@ -52,24 +62,25 @@
     received.push(request);
   });
   const answer = fleet.send(orders!, {attemptId: 'held', path: '/shop/1'});
-  await waitUntil('at work', () => received.length === 1);
+  await waitUntil('in flight', () => received.length === 1);
   return {
     fleet,
     shop: shop!,
     orders: orders!,
-    atWork: received[0]!,
-    atWorkAnswer: answer.then(({statusCode}) => statusCode),
+    requestInFlight: received[0]!,
+    inFlightStatusCode: answer.then(({statusCode}) => statusCode),
     stopped: shop!.node.stop().then(() => 'stopped'),
   };
 }
 
-test('a request that comes long after a stop began is turned away, not cut off', async t => {
-  // Two requests were lost at a planned restart. The node had been told to stop
-  // at 20.186 s, took both at 25.27 s, sent each to a second upstream after the
-  // first had been cut at 25.96 s, and ended at 26.018 s, at the end of its
-  // grace, with both unanswered: it took requests as long as it lived, and one
-  // that is taken late has less time than it may need.
-  const {fleet, shop, orders, atWork, stopped} = await stopWhileAtWork(t);
+test('a request that arrives long after a stop began is rejected, not cut off', async t => {
+  // Two requests were lost at a planned restart. The node received the stop
+  // signal at 20.186 s, accepted both at 25.27 s, sent each to a second
+  // upstream after the connection to the first was cut at 25.96 s, and ended at
+  // 26.018 s, at the end of its grace period, with both unanswered: it accepted
+  // requests until it ended, and a late request has less time than it may need.
+  const {fleet, shop, orders, requestInFlight, stopped} =
+    await stopWithRequestInFlight(t);
   const early = await connectRawClient(t, shop.address, fleet.outboundPort);
   orders.backend.setBehaviour(() => undefined);
   await sleep(LATE_MILLIS);
@@ -77,37 +88,39 @@
   early.ask('late-early', '/a/1');
   const answer = await Promise.race([late, stopped]);
   t.like(answer, {statusCode: 503, headers: {connection: 'close'}});
-  await waitUntil('told or ended', () => early.isClosed);
+  await waitUntil('answered or ended', () => early.isClosed);
   t.deepEqual(early.statusCodes, [503]);
-  // Within the window of the route, as after any other refusal.
+  // Within the retry window of the route, as after any other rejection.
   const returnSeconds = Number(
     /^retry-after: ([\d.]+)/im.exec(early.received)?.[1],
   );
   t.true(returnSeconds >= 0.2 * OBJECTIVE_SECONDS);
   t.true(returnSeconds <= 0.7 * OBJECTIVE_SECONDS);
   t.deepEqual(orders.backend.runIds, []);
-  atWork.answer(200, 'done');
+  requestInFlight.answer(200, 'done');
   await stopped;
   t.like(shop.node.state(), {node: {busyCount: 0}});
 });
 
-test('calls of the own upstream are served until its work is done', async t => {
-  // What an upstream had begun failed at a planned restart of its node: the call
-  // it made for it, on a new connection, was refused. The node had closed its
-  // listener to everybody at a share of its grace.
-  const {fleet, shop, atWork, atWorkAnswer, stopped} = await stopWhileAtWork(t);
+test('calls of the own upstream are served until its requests are finished', async t => {
+  // A request in flight failed at a planned restart of its upstream's node: the
+  // call that the upstream made for it on a new connection was refused. The
+  // node had closed its listener to all clients after a share of its grace
+  // period.
+  const {fleet, shop, requestInFlight, inFlightStatusCode, stopped} =
+    await stopWithRequestInFlight(t);
   await sleep(4000);
   const call = await fleet.send(shop, {attemptId: 'held.1', path: '/a/1'});
   t.is(call.statusCode, 200);
-  atWork.answer(200, 'done');
-  t.is(await atWorkAnswer, 200);
+  requestInFlight.answer(200, 'done');
+  t.is(await inFlightStatusCode, 200);
   await stopped;
 });
 
-test('what a node still holds at the end of its grace gets a final answer', async t => {
-  // A request that was taken in time may outlive the grace. It ended with a
-  // closed connection, which tells its client nothing, though the node knew when
-  // it would end.
+test('requests in flight at the end of the grace period get a final response', async t => {
+  // A request that was accepted in time may outlast the grace period. It ended
+  // with a closed connection, from which its client cannot infer the outcome,
+  // although the end of the grace period is known in advance.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [fleetPath({timeoutS: 20})],
@@ -115,7 +128,7 @@
   const [shop, orders] = fleet.hosts;
   orders!.backend.setBehaviour(() => undefined);
   const pending = fleet.send(shop!, {attemptId: 'long', path: '/a/1'});
-  await waitUntil('at work', () => orders!.backend.runIds.length === 1);
+  await waitUntil('in flight', () => orders!.backend.runIds.length === 1);
   const stopped = shop!.node.stop().then(() => 'stopped');
   const end = await Promise.race([pending, stopped]);
   t.like(end, {statusCode: 504});
@@ -123,10 +136,10 @@
   t.like(shop!.node.state(), {node: {busyCount: 0}});
 });
 
-test('requests behind an answer of a stopping node are answered as well', async t => {
-  // A client sent two requests ahead of the answers. The node was told to stop,
-  // and its first answer closed the connection, as each answer of a stopping
-  // node did; the second request had been passed on, ran, and had no answer.
+test('pipelined requests to a stopping node are all answered', async t => {
+  // A client pipelined two requests. The node received the stop signal, and its
+  // first response closed the connection, as each response of a stopping node
+  // did; the second request had been forwarded, ran, and got no response.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
@@ -139,7 +152,7 @@
   const client = await connectRawClient(t, shop!.address, fleet.outboundPort);
   client.ask('first', '/a/1');
   client.ask('second', '/a/2');
-  await waitUntil('both at work', () => received.length === 2);
+  await waitUntil('both in flight', () => received.length === 2);
   const stopped = shop!.node.stop();
   received.find(({attemptId}) => attemptId === 'first')!.answer(200, 'one');
   await waitUntil('first answer', () => client.statusCodes.length === 1);
@@ -150,11 +163,12 @@
   await stopped;
 });
 
-test('a node that stops does not give up what an upstream works on', async t => {
-  // A read ended with a failure 1.6 s after its node had been told to stop,
-  // though its upstream was at work on it: it took longer than usual (148 ms),
-  // was given up for another upstream, and that one did not take it. A node that
-  // runs would have looked further; one that stops has no time for a second try.
+test('a stopping node does not abandon a request that an upstream processes', async t => {
+  // A read failed 1.6 s after its node had received the stop signal, although
+  // its upstream was processing it: it took longer than usual (148 ms), was
+  // abandoned for another upstream, and that one did not accept it. A running
+  // node would have tried more upstreams; a stopping node has no time for a
+  // second attempt.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders', 'orders'],
     paths: [SAFE_PATH],
@@ -172,7 +186,7 @@
   }
   const stopped = shop!.node.stop();
   const pending = fleet.send(shop!, {attemptId: 'slow', path: '/a/1'});
-  await waitUntil('at work', () => received.length > 0);
+  await waitUntil('in flight', () => received.length > 0);
   await sleep(UNUSUAL_MILLIS);
   for (const request of received) request.answer(200, 'done');
   t.is((await pending).statusCode, 200);
--- a/test/contract/platform_stop_answers.test.ts
+++ b/test/contract/platform_stop_responses.test.ts
@@ -7,7 +7,7 @@
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
-/** Longer than what a node holds until it is whole. */
+/** Longer than the responses that a node buffers completely. */
 const LONG_BYTES = 140_000;
 
 const OWN_PATH = fleetPath({name: 'r-3', prefix: '/own/', service: 'shop'});
@@ -16,12 +16,12 @@
   ['another host', '/a/1'],
   ['the own upstream', '/own/1'],
 ] as const) {
-  test(`a planned stop resets an answer without a length in its middle: ${where}`, async t => {
-    // In a trial a client took 70,061 bytes of an answer for the whole one: it had
-    // no length, the grace of its node ended in its middle, and a connection that
-    // the end of the process closes ends in good order, which is how an answer
-    // without a length ends. Here the upstream is still sending it, and the stop
-    // has reset it before the process ends.
+  test(`a planned stop resets an incomplete response without a length: ${where}`, async t => {
+    // In a trial a client accepted 70,061 bytes of a response without a length
+    // as complete: the grace period of its node ended in the middle of the
+    // response, and a process that exits closes its connections normally, which
+    // is also how a response without a length ends. Here the upstream is still
+    // sending, and the stop must reset the connection before the process ends.
     const fleet = await startFleet(t, {
       services: ['shop', 'orders'],
       paths: [SAFE_PATH, OWN_PATH],
@@ -50,9 +50,12 @@
     socket.write(
       `GET ${path} HTTP/1.1\r\nhost: ${FLEET_HOST_NAME}\r\nattempt-id: long\r\ntimeout-ms: 9000\r\n\r\n`,
     );
-    await waitUntil('in its middle', () => receivedBytes > LONG_BYTES / 2);
+    await waitUntil(
+      'half of the response',
+      () => receivedBytes > LONG_BYTES / 2,
+    );
     await shop!.node.stop();
-    // Nothing of the node runs any more when the process ends.
+    // No code of the node runs after the process ends.
     await waitUntil('closed', () => socket.closed);
     t.is(errorCode, 'ECONNRESET');
   });
--- a/test/contract/platform_store_restored.test.ts
+++ b/test/contract/platform_store_restored.test.ts
@@ -10,7 +10,7 @@
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
-/** Events of one kind about one upstream, or about anything. */
+/** Counts the events of one kind that have the given fields. */
 function countEvents(
   host: FleetHost,
   event: string,
@@ -25,8 +25,8 @@
   ).length;
 }
 
-/** Returns when each host has told of an event. */
-async function untilAllTell(
+/** Waits until each host has logged an event. */
+async function waitUntilAllLogged(
   {hosts}: PlatformFleet,
   event: string,
   fields: Readonly<Record<string, unknown>> = {},
@@ -36,26 +36,34 @@
   );
 }
 
-/** Publishes a state that all hosts know when this returns. */
+/**
+ * Publishes that an upstream drains and waits until all hosts have logged it.
+ */
 async function publishDraining(
   fleet: PlatformFleet,
   host: FleetHost,
   fields: EntryFields,
 ): Promise<void> {
   fleet.publish(host, {...fields, state: 'draining'});
-  await untilAllTell(fleet, 'upstream-draining', {upstream: host.backend.id});
+  await waitUntilAllLogged(fleet, 'upstream-draining', {
+    upstream: host.backend.id,
+  });
 }
 
-/** Versions count from 1, the version that a fleet starts with. */
+/**
+ * Publishes the next version, where a fleet starts with 1, and waits for it.
+ */
 async function configureNext(
   fleet: PlatformFleet,
   configurationVersion: number,
 ): Promise<void> {
   fleet.configure([SAFE_PATH]);
-  await untilAllTell(fleet, 'configuration-accepted', {configurationVersion});
+  await waitUntilAllLogged(fleet, 'configuration-accepted', {
+    configurationVersion,
+  });
 }
 
-/** The store is away for a moment and comes back from a copy. */
+/** Makes the store unavailable for a moment and restores it from a copy. */
 function restore(
   {store}: PlatformFleet,
   copy: StoreCopy,
@@ -67,11 +75,11 @@
   store.setMode('well');
 }
 
-test('what is written after a copy was restored is known', async t => {
-  // An upstream went on getting requests long after it had published that it
-  // drains. The store had come back from an older copy and gave the revisions out
-  // again; watches from before the loss went on at theirs, as if nothing had
-  // happened, and what had been written below it was never told.
+test('changes written after a restore are received', async t => {
+  // An upstream still got requests long after it had published that it drains.
+  // The store had been restored from an older copy and reused its revisions;
+  // watches from before the loss continued at theirs, and changes written below
+  // them were never delivered.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders', 'orders'],
     paths: [SAFE_PATH],
@@ -90,15 +98,18 @@
   });
   await configureNext(fleet, 3);
   for (const host of hosts) {
-    const told = countEvents(host, 'upstream-draining', {upstream: 'i-2'});
-    t.is(told, 1, host.address);
+    const loggedCount = countEvents(host, 'upstream-draining', {
+      upstream: 'i-2',
+    });
+    t.is(loggedCount, 1, host.address);
   }
 });
 
-test('a node that has not seen the restored store keeps nobody reading', async t => {
-  // While one node was cut off from the restored store, all others read it again
-  // every half a second: 'stale, afterRevision 104' next to a peer that told 130.
-  // It still had the higher revision from before, which is not a later one.
+test('a node disconnected from the restored store causes no repeated reads of others', async t => {
+  // While one node was disconnected from the restored store, all others read it
+  // again every half a second: 'stale, afterRevision 104' next to a peer that
+  // reported 130. It still had the higher revision from before the restore,
+  // which is not a later one.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders', 'orders'],
     paths: [SAFE_PATH],
@@ -109,22 +120,22 @@
   for (let seq = 2; seq < 30; seq += 1) fleet.publish(shop!, {seq});
   await configureNext(fleet, 2);
   shop!.storeEntrance.setMode('reset');
-  await waitUntil('cut off', () => countEvents(shop!, 'store-lost') > 0);
+  await waitUntil('disconnected', () => countEvents(shop!, 'store-lost') > 0);
   store.restore(copy);
   for (let index = 0; index < 40; index += 1) {
     await fleet.send(shop!, {attemptId: `a${String(index)}`, path: '/a/1'});
     await sleep(50);
   }
   for (const host of others) {
-    const told = countEvents(host, 'store-call', {call: 'stale'});
-    t.is(told, 0, host.address);
+    const loggedCount = countEvents(host, 'store-call', {call: 'stale'});
+    t.is(loggedCount, 0, host.address);
   }
 });
 
-test('an upstream that the copy lacks stays in use while it is written again', async t => {
+test('an upstream missing from the copy stays in use until its entry is written again', async t => {
   // A whole service had no upstreams for a second and a half. They had started
-  // after the copy was made that the store came back from, and the first read
-  // came before they had written their entries again.
+  // after the copy was made from which the store was restored, and the first
+  // read came before they had written their entries again.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
@@ -132,7 +143,7 @@
   const {store, hosts} = fleet;
   const [shop, orders] = hosts;
   fleet.withdraw(orders!);
-  await untilAllTell(fleet, 'upstream-left', {upstream: 'i-2'});
+  await waitUntilAllLogged(fleet, 'upstream-left', {upstream: 'i-2'});
   const copy = store.copy();
   fleet.publish(orders!, {seq: 2});
   await waitUntil('joined', () =>
@@ -147,14 +158,14 @@
   for (const host of hosts) t.is(countEvents(host, 'upstream-left'), 1);
 });
 
-test('an upstream that the copy lacks and that stays silent is gone', async t => {
+test('an upstream missing from the copy that writes no entry again is removed', async t => {
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
   });
   const [, orders] = fleet.hosts;
   fleet.withdraw(orders!);
-  await untilAllTell(fleet, 'upstream-left', {upstream: 'i-2'});
+  await waitUntilAllLogged(fleet, 'upstream-left', {upstream: 'i-2'});
   const copy = fleet.store.copy();
   fleet.publish(orders!, {seq: 2});
   await waitUntil('joined', () =>
@@ -168,12 +179,14 @@
 });
 
 for (const born of [undefined, 1_790_000_000_000]) {
-  const kind = born === undefined ? 'without a birth' : 'with a birth';
+  const kind =
+    born === undefined ? 'without a start time' : 'with a start time';
 
-  test(`an upstream ${kind} that left before the loss gets nothing after it`, async t => {
-    // Requests were sent to an upstream that had left seconds before. The copy that
-    // the store came back from still listed it as ready, and nodes took the entry
-    // for that of a new one: 'upstream-joined' twice under one id.
+  test(`an upstream ${kind} that left before a restore gets no requests after it`, async t => {
+    // Requests were sent to an upstream that had left seconds before. The copy
+    // from which the store was restored still listed it as ready, and nodes
+    // treated the entry as that of a new upstream: 'upstream-joined' twice for
+    // one id.
     const fleet = await startFleet(t, {
       services: ['shop', 'orders', 'orders'],
       paths: [SAFE_PATH],
@@ -183,7 +196,7 @@
     const copy = fleet.store.copy();
     await publishDraining(fleet, leaving!, {born, seq: 3});
     fleet.withdraw(leaving!);
-    await untilAllTell(fleet, 'upstream-left', {upstream: 'i-2'});
+    await waitUntilAllLogged(fleet, 'upstream-left', {upstream: 'i-2'});
     restore(fleet, copy);
     await configureNext(fleet, 2);
     for (const host of fleet.hosts) {
@@ -195,7 +208,7 @@
       await fleet.send(shop!, {attemptId, path: '/a/1'});
     }
     t.is(leaving!.backend.arrivedIds.length, 0);
-    // One that lives after all writes its entry again.
+    // An upstream that is still running writes its entry again.
     fleet.publish(leaving!, {born, seq: 4});
     await waitUntil('joined again', () =>
       fleet.hosts.every(
@@ -204,9 +217,9 @@
     );
   });
 
-  test(`an upstream ${kind} that drains goes on draining where the copy says ready`, async t => {
-    // An upstream that had published that it drains got requests again: the copy
-    // that the store came back from held its entry of before.
+  test(`an upstream ${kind} that drains keeps draining if the copy lists it as ready`, async t => {
+    // An upstream that had published that it drains got requests again: the
+    // copy from which the store was restored held its previous entry.
     const fleet = await startFleet(t, {
       services: ['shop', 'orders', 'orders'],
       paths: [SAFE_PATH],
@@ -223,7 +236,7 @@
   });
 }
 
-test('each return from a copy is told with what was known before it', async t => {
+test('each restore is logged with the previous epoch', async t => {
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
@@ -236,10 +249,10 @@
   restore(fleet, copy);
   await configureNext(fleet, 4);
   for (const {events, metrics} of hosts) {
-    const told = events
+    const loggedEpochs = events
       .filter(({event}) => event === 'store-restored')
       .map(({fields}) => [fields['epochBefore'], fields['epoch']]);
-    t.deepEqual(told, [
+    t.deepEqual(loggedEpochs, [
       [1, 2],
       [2, 3],
     ]);
@@ -247,7 +260,7 @@
   }
 });
 
-test('the version in force stays where the copy holds an older one', async t => {
+test('the active version stays if the copy holds an older one', async t => {
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
