--- a/src/process/admission/call_trees.ts
+++ b/src/process/admission/call_trees.ts
@@ -1,37 +1,42 @@
 /**
- * Learns which services a request of each route reaches, itself and through
- * the calls made for it, and how often.
+ * Learns which services a request of each route reaches, directly and through
+ * nested calls, and how often.
  *
- * Without it an entry could not know that two routes to different services
- * meet in a third one that is saturated.
+ * Without it, an entry node could not detect that two routes to different
+ * services share a third one that is saturated.
  */
 
-/** Calls for each service. */
+/** Number of calls by service. */
 export type CallCounts = ReadonlyMap<string, number>;
 
-/** Learned trees of calls, by the route at which a client's request entered. */
+/** Learned call trees by the route at which a client's request entered. */
 export interface CallTrees {
-  /** Learns from a request that was answered with success. */
+  /** Records the calls of a request that succeeded. */
   observe(routeName: string, counts: CallCounts): void;
   /**
-   * Learns from a request that failed after some of its calls, as long as none
-   * has succeeded: what it reached at least.
+   * Records the calls of a request that failed after some of them, as a lower
+   * bound. Ignored once a request of the route has succeeded.
    */
   observeFailed(routeName: string, counts: CallCounts): void;
-  /** Mean calls of one request for each service; empty if not known. */
+  /**
+   * Mean number of calls of one request by service; empty if none are recorded.
+   */
   callCountsOf(routeName: string): CallCounts;
 }
 
-/** Weight of one new sample: about the last thirty requests count. */
+/**
+ * Weight of one sample in the moving average: about the last thirty requests
+ * count.
+ */
 const SAMPLE_WEIGHT = 0.06;
 
-/** Mean calls below which a service no longer belongs to a tree. */
-const FORGET_COUNT = 0.02;
+/** Mean number of calls below which a service is removed from a tree. */
+const MIN_MEAN_COUNT = 0.02;
 
-/** No calls at all. */
+/** Empty call counts. */
 export const NO_CALLS: CallCounts = new Map();
 
-/** Creates trees that know nothing. */
+/** Creates call trees without any recorded request. */
 export function createCallTrees(): CallTrees {
   const trees = new Map<string, Map<string, number>>();
   const failedTrees = new Map<string, Map<string, number>>();
@@ -54,7 +59,7 @@
       for (const [service, mean] of tree) {
         const sample = counts.get(service) ?? 0;
         const next = mean + (sample - mean) * SAMPLE_WEIGHT;
-        if (next < FORGET_COUNT) tree.delete(service);
+        if (next < MIN_MEAN_COUNT) tree.delete(service);
         else tree.set(service, next);
       }
       for (const [service, sample] of counts) {
@@ -66,7 +71,10 @@
   };
 }
 
-/** What one more attempt at a service causes: itself, and the calls below it. */
+/**
+ * Calls caused by one more attempt at a service: the attempt itself and the
+ * calls below it.
+ */
 export function attemptCallCounts(
   tree: CallCounts,
   service: string,
--- a/src/process/admission/entry_admission.ts
+++ b/src/process/admission/entry_admission.ts
@@ -1,19 +1,19 @@
 /**
- * Decides at the entry whether a client's request is let in, by the levels of
- * all services that it will reach.
+ * Decides at the entry node whether a client's request is admitted, by the
+ * admission levels of all services that it will reach.
  *
- * Load pattern: demand on a service deep in the graph exceeds what it can do.
- * A request that it would refuse is refused here, where nothing has been
- * done for it yet; what is let in is carried through. So is a request that needs a
- * service of which no upstream is left: it would fail after all services on the
- * way there have worked for it.
+ * Load pattern: demand on a service deep in the call graph exceeds its
+ * capacity. A request that it would reject is rejected here, before any work is
+ * done for it; an admitted request is carried through. A request that needs a
+ * service without any upstream is rejected as well: it would fail after all
+ * services on the path have worked for it.
  */
 import type {CallCounts} from './call_trees.js';
 import type {LoadTable} from './load_table.js';
 
-/** The gate. */
+/** Admission control of an entry node. */
 export interface EntryAdmission {
-  /** Why a request stays out; `undefined` if it is let in. */
+  /** Returns why a request is rejected; `undefined` if it is admitted. */
   shedCause(
     request: AdmissionRequest,
     service: string,
@@ -21,42 +21,46 @@
   ): ShedCause | undefined;
 }
 
-/** What keeps a request out. */
+/** Service for which a request is rejected, and the reason. */
 export interface ShedCause {
   readonly service: string;
   readonly reason: 'overload' | 'no-upstream';
 }
 
-/** What the gate needs to know of a request. */
+/** Properties of a request that decide about its admission. */
 export interface AdmissionRequest {
   readonly importance: number;
   readonly attemptId: string;
 }
 
-/** Calls of one request below which a service's load does not decide about it. */
+/** Mean calls per request below which the load of a service is ignored. */
 const RELEVANT_COUNT = 0.2;
 
 /**
- * Calls of one request from which nearly all of its like need a service: one
- * that half of them need would keep out the other half, which can be served.
+ * Mean calls per request from which a service counts as required. Rejecting for
+ * a service that half of the requests need would also reject the other half,
+ * which can be served.
  */
 const NEEDED_COUNT = 0.9;
 
-/** Creates a gate over what has been heard of loads and upstreams. */
+/**
+ * Creates an admission control based on reported loads and listed upstreams.
+ */
 export function createEntryAdmission(
-  board: LoadTable,
+  loadTable: LoadTable,
   hasUpstream: (service: string) => boolean,
 ): EntryAdmission {
   return {
     shedCause: ({importance}, service, tree) => {
-      const isOut = (name: string): boolean => importance > board.levelOf(name);
-      if (isOut(service)) return {service, reason: 'overload'};
-      for (const [deeper, count] of tree) {
-        if (count >= RELEVANT_COUNT && isOut(deeper)) {
-          return {service: deeper, reason: 'overload'};
+      const isShedBy = (name: string): boolean =>
+        importance > loadTable.levelOf(name);
+      if (isShedBy(service)) return {service, reason: 'overload'};
+      for (const [calledService, count] of tree) {
+        if (count >= RELEVANT_COUNT && isShedBy(calledService)) {
+          return {service: calledService, reason: 'overload'};
         }
-        if (count >= NEEDED_COUNT && !hasUpstream(deeper)) {
-          return {service: deeper, reason: 'no-upstream'};
+        if (count >= NEEDED_COUNT && !hasUpstream(calledService)) {
+          return {service: calledService, reason: 'no-upstream'};
         }
       }
       return undefined;
--- a/src/process/admission/importance.ts
+++ b/src/process/admission/importance.ts
@@ -2,25 +2,26 @@
  * Importance of a client's attempt: one number that every call made for it
  * carries, so that all services shed the same requests.
  *
- * Shedding by rank alone takes a whole rank at once; shedding each call by
- * chance ruins a request of many calls almost surely. The rank is therefore
- * divided into buckets by the attempt's id: a request is in or out at every
- * service alike, and a service can shed a sixty-fourth of a rank.
+ * Shedding by rank alone rejects a whole rank at once; shedding each call at
+ * random makes a request with many calls fail almost certainly. Each rank is
+ * therefore divided into buckets by a hash of the attempt id: all services
+ * admit or reject the same requests, and a service can shed a sixty-fourth of a
+ * rank.
  */
 import {fnvHash} from '../../base/fnv_hash.js';
 
-/** Steps within one rank; one step is 1.6% of its traffic. */
+/** Buckets of one rank; one bucket is 1.6% of its traffic. */
 export const BUCKETS_COUNT = 64;
 
-/** Ranks beyond this one are treated alike. */
+/** Higher ranks are treated like this one. */
 const MAX_RANK = 7;
 
 /** The least important value. */
 export const LEAST_IMPORTANT = (MAX_RANK + 1) * BUCKETS_COUNT - 1;
 
-/** Low bits of the hash that place an attempt apart from its bucket. */
-const SPREAD_BITS = 12;
-const SPREAD_MASK = 2 ** SPREAD_BITS - 1;
+/** Low bits of the hash, which do not depend on the bucket. */
+const UNIFORM_HASH_BITS = 12;
+const UNIFORM_HASH_MASK = 2 ** UNIFORM_HASH_BITS - 1;
 
 /** Importance of an attempt; lower is more important. */
 export function importanceOf(rank: number, attemptId: string): number {
@@ -28,16 +29,19 @@
   return bounded * BUCKETS_COUNT + bucketOf(attemptId);
 }
 
-/** A request as far as its rank is concerned. */
+/** Ranks from which the rank of a request is derived. */
 export interface RankedRequest {
   readonly routeRank: number;
   /** Rank of the least important routes. */
   readonly lowestRouteRank: number;
-  /** `undefined` where clients have no organisation. */
+  /** `undefined` if clients have no organisation. */
   readonly organisationRank: number | undefined;
 }
 
-/** Rank of a request: that of its organisation first, then that of its route. */
+/**
+ * Rank of a request: ordered by the rank of its organisation, then by that of
+ * its route.
+ */
 export function rankOfRequest({
   routeRank,
   lowestRouteRank,
@@ -51,11 +55,11 @@
   return Math.floor(importance / BUCKETS_COUNT);
 }
 
-/** Place of an attempt in [0, 1), independent of its bucket. */
+/** Hash of an attempt in [0, 1), independent of its bucket. */
 export function uniformHashOf(attemptId: string): number {
-  return (fnvHash(attemptId) & SPREAD_MASK) / (SPREAD_MASK + 1);
+  return (fnvHash(attemptId) & UNIFORM_HASH_MASK) / (UNIFORM_HASH_MASK + 1);
 }
 
 function bucketOf(attemptId: string): number {
-  return (fnvHash(attemptId) >>> SPREAD_BITS) % BUCKETS_COUNT;
+  return (fnvHash(attemptId) >>> UNIFORM_HASH_BITS) % BUCKETS_COUNT;
 }
--- a/src/process/admission/load_poller.ts
+++ b/src/process/admission/load_poller.ts
@@ -1,51 +1,52 @@
 /**
- * Which services this node asks about, since it hears of their loads no more.
+ * Determines the services whose load this node polls because it no longer
+ * receives reports.
  *
- * Load pattern: a service sheds, and a node refuses all that its clients want
- * of it. Loads come with answers, and a node that sends nothing gets none: its
- * picture ages, it lets everything in again, and what it lets in fails deeper
- * down.
+ * Load pattern: a service sheds load, and a node rejects all requests of its
+ * clients for that service. Load reports are part of responses, so a node that
+ * sends nothing receives none: its reports age, it admits everything again, and
+ * the admitted requests fail deeper in the call graph.
  */
 import type {LoadTable} from './load_table.js';
 
-/** Questions of one node. */
+/** Load polling of one node. */
 export interface LoadPoller {
-  /** A request was refused for the load of a service. */
+  /** Records that a request was rejected for the load of a service. */
   recordShed(service: string): void;
-  /** Services to ask about now; each is asked about once an interval. */
+  /** Services to poll now; each is polled at most once per interval. */
   dueServices(): readonly string[];
 }
 
-/** What questions need. */
+/** Dependencies of a load poller. */
 export interface LoadPollerOptions {
   readonly loadTable: LoadTable;
-  /** The upstream of this host, whose load is known without asking. */
+  /** Local upstream, whose load is known without polling. */
   readonly ownUpstreamId: () => string | undefined;
   readonly nowMillis: () => number;
 }
 
 /**
- * Age of the newest report from which it is asked for: a level moves five times
- * a second, and an answer takes some milliseconds.
+ * Age of the newest report from which a service is polled: a level changes five
+ * times a second, and a response takes some milliseconds.
  */
 const MAX_AGE_MILLIS = 400;
 
-/** Who has turned nothing away for this long has nothing to ask. */
-const SHED_MILLIS = 1000;
+/** Time without rejections after which a service is no longer polled. */
+const POLL_AFTER_SHED_MILLIS = 1000;
 
-/** Creates the questions of a node that has turned nothing away. */
+/** Creates the poller of a node that has not rejected any request. */
 export function createLoadPoller({
   loadTable,
   ownUpstreamId,
   nowMillis,
 }: LoadPollerOptions): LoadPoller {
   const shedMillis = new Map<string, number>();
-  const askedMillis = new Map<string, number>();
+  const polledMillis = new Map<string, number>();
 
   const isDue = (service: string, now: number): boolean => {
-    const heardMillis = loadTable.lastReportMillis(service, ownUpstreamId());
-    const asked = askedMillis.get(service) ?? -Infinity;
-    return now - Math.max(heardMillis, asked) >= MAX_AGE_MILLIS;
+    const reportedMillis = loadTable.lastReportMillis(service, ownUpstreamId());
+    const lastPolledMillis = polledMillis.get(service) ?? -Infinity;
+    return now - Math.max(reportedMillis, lastPolledMillis) >= MAX_AGE_MILLIS;
   };
 
   return {
@@ -56,11 +57,11 @@
       const now = nowMillis();
       const services: string[] = [];
       for (const [service, millis] of shedMillis) {
-        if (now - millis > SHED_MILLIS) {
+        if (now - millis > POLL_AFTER_SHED_MILLIS) {
           shedMillis.delete(service);
-          askedMillis.delete(service);
+          polledMillis.delete(service);
         } else if (isDue(service, now)) {
-          askedMillis.set(service, now);
+          polledMillis.set(service, now);
           services.push(service);
         }
       }
--- a/src/process/admission/load_table.ts
+++ b/src/process/admission/load_table.ts
@@ -1,68 +1,76 @@
 /**
- * What this node has heard about the load of upstreams, its own or from the
- * answers of other nodes; the newest report of each upstream counts.
+ * Latest load report of each upstream, from the local upstream or in the
+ * responses of other nodes.
  */
 import type {LoadFields, RejectionFields} from '../../protocol/hop_messages.js';
 import {LEAST_IMPORTANT} from './importance.js';
 import {isRejecting} from './rejection_rate.js';
 
-/** Load of one upstream as its node reported it. */
+/** Load of one upstream as reported by its node. */
 export interface LoadReport extends Omit<LoadFields, 'ageMillis'> {
-  /** When the report was made, on this node's clock. */
+  /** Time of the report on this node's clock. */
   readonly madeAtMillis: number;
 }
 
-/** Board of reports. */
+/** Load reports by upstream. */
 export interface LoadTable {
   observe(report: LoadReport): void;
   find(upstreamId: string): LoadReport | undefined;
-  /** Level of a service: half of its capacity has this one or a higher one. */
+  /**
+   * Level of a service: half of its capacity has this level or a higher one.
+   */
   levelOf(service: string): number;
-  /** Load of a service over all upstreams that reported; if there are any. */
+  /**
+   * Load of a service over all upstreams that reported; `undefined` without
+   * reports.
+   */
   serviceLoadOf(service: string): ServiceLoad | undefined;
   /**
-   * When the newest report of a service was made, other than of one upstream;
-   * `-Infinity` without any.
+   * Time of the newest report of a service, except for one upstream;
+   * `-Infinity` without reports.
    */
   lastReportMillis(service: string, exceptId?: string): number;
-  /** Fresh reports of services that shed or reject, the newest first. */
+  /** Fresh reports of services that shed or reject requests, newest first. */
   shedding(): readonly LoadReport[];
   /**
-   * Drops what was reported of an upstream so far, which has started again: the
-   * load of its start before would keep requests away from it, or draw them.
+   * Drops the reports of an upstream that has restarted: the load of its
+   * previous start would keep requests away from it, or attract them.
    */
   discardReports(upstreamId: string): void;
-  /** Forgets what has aged. */
+  /** Removes outdated reports. */
   expire(): void;
 }
 
-/** Load of a service. */
+/** Aggregated load of a service. */
 export interface ServiceLoad {
-  /** Mean time for which an upstream holds a slot. */
+  /** Mean time for which a slot is held. */
   readonly averageMillis: number;
-  /** Time in which its upstreams would work off what waits. */
+  /** Time in which its upstreams would process the queued requests. */
   readonly backlogMillis: number;
   readonly level: number;
   /** Share of its slots in use. */
   readonly busyRatio: number;
-  /** Some of its upstreams reject part of what they are handed. */
+  /** Whether some of its upstreams reject part of their requests. */
   readonly isRejecting: boolean;
 }
 
-/** A report stands for this long. */
+/** Age up to which a report is used unchanged. */
 const FRESH_MILLIS = 1000;
 
-/** Time in which an aged level rises to let everything in again. */
-const RELAX_MILLIS = 2000;
+/**
+ * Time in which the level of an outdated report rises until it admits
+ * everything.
+ */
+const LEVEL_RELAX_MILLIS = 2000;
 
-/** Reports beyond this age are dropped. */
-const FORGET_MILLIS = 10_000;
+/** Age from which reports are removed. */
+const MAX_AGE_MILLIS = 10_000;
 
-/** How long what is summed up of reports is reused, to spare the hot path. */
+/** Time for which aggregated reports are cached, to keep the hot path cheap. */
 const CACHE_MILLIS = 20;
 
-/** One upstream's part in its service. */
-interface Part {
+/** Level of one upstream and its weight in its service. */
+interface WeightedLevel {
   readonly level: number;
   readonly weight: number;
 }
@@ -72,12 +80,12 @@
   readonly untilMillis: number;
 }
 
-/** Creates an empty board. */
+/** Creates an empty table. */
 export function createLoadTable(nowMillis: () => number): LoadTable {
   const reports = new Map<string, LoadReport>();
   const cache = new Map<string, Summary>();
-  /** Reports from before this time are of an earlier start. */
-  const startedMillis = new Map<string, number>();
+  /** Restart times of upstreams; older reports belong to a previous start. */
+  const restartMillis = new Map<string, number>();
 
   let shedding: readonly LoadReport[] = [];
   let sheddingUntilMillis = -Infinity;
@@ -94,14 +102,14 @@
   return {
     observe: report => {
       const {upstreamId, madeAtMillis} = report;
-      const before = reports.get(upstreamId);
-      if (before && before.madeAtMillis >= madeAtMillis) return;
-      if (madeAtMillis < (startedMillis.get(upstreamId) ?? -Infinity)) return;
+      const previous = reports.get(upstreamId);
+      if (previous && previous.madeAtMillis >= madeAtMillis) return;
+      if (madeAtMillis < (restartMillis.get(upstreamId) ?? -Infinity)) return;
       reports.set(upstreamId, report);
     },
     discardReports: upstreamId => {
       reports.delete(upstreamId);
-      startedMillis.set(upstreamId, nowMillis());
+      restartMillis.set(upstreamId, nowMillis());
     },
     find: upstreamId => reports.get(upstreamId),
     levelOf: service => summaryOf(service).load?.level ?? LEAST_IMPORTANT,
@@ -119,16 +127,16 @@
       const now = nowMillis();
       if (now < sheddingUntilMillis) return shedding;
       sheddingUntilMillis = now + CACHE_MILLIS;
-      shedding = sheddingAmong(reports.values(), now);
+      shedding = sheddingReportsAmong(reports.values(), now);
       return shedding;
     },
     expire: () => {
-      const since = nowMillis() - FORGET_MILLIS;
+      const since = nowMillis() - MAX_AGE_MILLIS;
       for (const [id, report] of reports) {
         if (report.madeAtMillis < since) reports.delete(id);
       }
-      for (const [id, millis] of startedMillis) {
-        if (millis < since) startedMillis.delete(id);
+      for (const [id, millis] of restartMillis) {
+        if (millis < since) restartMillis.delete(id);
       }
     },
   };
@@ -155,24 +163,30 @@
     averageMillis: limitCount / weight,
     backlogMillis: meanOf(usable, shareOf, backlogOf),
     busyRatio: meanOf(usable, shareOf, busyRatioOf),
-    level: medianLevel(partsOf(usable, now)),
-    isRejecting: usable.some(report => isRejecting(rejectionsNow(report, now))),
+    level: medianLevel(weightedLevelsOf(usable, now)),
+    isRejecting: usable.some(report =>
+      isRejecting(freshRejections(report, now)),
+    ),
   };
   return {load, untilMillis};
 }
 
-/** Share of an upstream in the work of its service, relative to the others. */
+/**
+ * Returns the share of an upstream in the work of its service, relative to the
+ * others.
+ */
 type ShareRule = (report: LoadReport) => number;
 
 /**
- * By slots; where some reject and are avoided for it, by what is sent to each:
- * the free slots of those that get no requests would hide the queue of the others.
+ * By number of slots, or, if some upstreams reject requests and are avoided for
+ * it, by arrival rate: the free slots of upstreams that receive no requests
+ * would hide the queues of the others.
  */
 function shareRule(reports: readonly LoadReport[], now: number): ShareRule {
-  const isKnown = reports.every(
-    report => rejectionsNow(report, now) !== undefined,
+  const areRejectionsKnown = reports.every(
+    report => freshRejections(report, now) !== undefined,
   );
-  if (!isKnown) return ({limitCount}) => limitCount;
+  if (!areRejectionsKnown) return ({limitCount}) => limitCount;
   return ({rejections}) => Math.max(1, rejections?.arrivedPerSecond ?? 0);
 }
 
@@ -203,16 +217,19 @@
   return inFlightCount / limitCount;
 }
 
-/** An upstream that answers faster takes a larger share of the work. */
+/** An upstream that responds faster has a larger share of the work. */
 function capacityOf({limitCount, averageMillis}: LoadReport): number {
   return limitCount / Math.max(1, averageMillis);
 }
 
 /**
- * Upstreams that were heard of lately set the level. Those that were not would
- * raise it: their levels relax with age, whatever the others report.
+ * Upstreams with a fresh report determine the level. The others would raise it:
+ * their levels rise with age, whatever the fresh reports contain.
  */
-function partsOf(reports: readonly LoadReport[], now: number): readonly Part[] {
+function weightedLevelsOf(
+  reports: readonly LoadReport[],
+  now: number,
+): readonly WeightedLevel[] {
   const fresh = reports.filter(report => isFresh(report, now));
   return (fresh.length > 0 ? fresh : reports).map(report => ({
     level: currentLevel(report, now),
@@ -225,12 +242,12 @@
 }
 
 /**
- * The upstreams of a service move their levels apart from each other. A mean
- * would follow the one that has no part in the load and lets everything in.
+ * The levels of a service's upstreams diverge. A mean would follow an upstream
+ * that takes no part in the load and admits everything.
  */
-function medianLevel(parts: readonly Part[]): number {
-  const sorted = [...parts].sort((a, b) => b.level - a.level);
-  const weight = parts.reduce((total, part) => total + part.weight, 0);
+function medianLevel(levels: readonly WeightedLevel[]): number {
+  const sorted = [...levels].sort((a, b) => b.level - a.level);
+  const weight = levels.reduce((total, part) => total + part.weight, 0);
   let sum = 0;
   for (const part of sorted) {
     sum += part.weight;
@@ -239,8 +256,11 @@
   return LEAST_IMPORTANT;
 }
 
-/** Reports of services of which one sheds or rejects, the newest first. */
-function sheddingAmong(
+/**
+ * Reports of services with an upstream that sheds or rejects requests, newest
+ * first.
+ */
+function sheddingReportsAmong(
   reports: Iterable<LoadReport>,
   now: number,
 ): readonly LoadReport[] {
@@ -258,18 +278,21 @@
   return report.level < LEAST_IMPORTANT || report.rejections !== undefined;
 }
 
-/** What was rejected before an old report says nothing about now. */
-function rejectionsNow(
+/** The rejections in an outdated report no longer apply. */
+function freshRejections(
   report: LoadReport,
   now: number,
 ): RejectionFields | undefined {
   return isFresh(report, now) ? report.rejections : undefined;
 }
 
-/** An old report must not keep requests out after its cause has gone. */
+/**
+ * Raises the level of an outdated report, which must not keep requests out
+ * after its cause has gone.
+ */
 function currentLevel(report: LoadReport, now: number): number {
   const agedMillis = now - report.madeAtMillis - FRESH_MILLIS;
   if (agedMillis <= 0) return report.level;
-  const relaxed = Math.min(1, agedMillis / RELAX_MILLIS);
-  return report.level + (LEAST_IMPORTANT - report.level) * relaxed;
+  const relaxedRatio = Math.min(1, agedMillis / LEVEL_RELAX_MILLIS);
+  return report.level + (LEAST_IMPORTANT - report.level) * relaxedRatio;
 }
--- a/src/process/admission/rank_demand.ts
+++ b/src/process/admission/rank_demand.ts
@@ -1,10 +1,10 @@
 /**
  * Estimates the work that each bucket of each rank brings to one upstream.
  *
- * A level moves faster than its effect arrives: what entered under an earlier
- * level is still on its way. Only buckets that have been in for several windows
- * are measured, and a rank that is shut keeps its last estimate; opened by
- * guess, it would come as a burst.
+ * A level changes faster than its effect arrives: requests admitted under an
+ * earlier level are still in flight. Only buckets that have been admitted for
+ * several windows are measured, and a rank that is fully shed keeps its last
+ * estimate; if it were admitted again without one, it would arrive as a burst.
  */
 import {BUCKETS_COUNT, LEAST_IMPORTANT, rankOf} from './importance.js';
 
@@ -13,60 +13,66 @@
   record(importance: number, costMillis: number): void;
   /** Ends a window during which this level was published. */
   endWindow(level: number): void;
-  /** Work that one bucket is expected to bring in a window. */
+  /** Expected work of one bucket per window. */
   bucketWork(importance: number): number;
-  /** Work that all buckets up to a level are expected to bring in a window. */
+  /** Expected work of all buckets up to a level per window. */
   workUpTo(level: number): number;
-  /** Level whose buckets have all been in for several windows. */
+  /** Level whose buckets have all been admitted for several windows. */
   settledLevel(): number;
-  /** Least important value of the last rank that brings work. */
+  /** Least important value of the last rank that has demand. */
   lastLevel(): number;
-  /** The highest level under which what arrives now may have entered. */
+  /**
+   * The highest level under which requests that arrive now may have been
+   * admitted.
+   */
   causingLevel(): number;
-  /** The highest level under which what waits now may have entered. */
+  /** The highest level under which queued requests may have been admitted. */
   waitingLevel(): number;
 }
 
-/** Windows for which a bucket must have been in to be measured. */
+/** Windows for which a bucket must have been admitted to be measured. */
 const SETTLING_WINDOWS_COUNT = 8;
 
-/** Windows that a request needs from its entry to most of its calls. */
+/** Windows from the admission of a request to most of its calls. */
 const CAUSING_WINDOWS_COUNT = 5;
 
-/** Buckets of a rank that must be in for its estimate to be taken. */
-const TRUSTED_BUCKETS_COUNT = 4;
+/** Buckets of a rank that must be admitted for its estimate to be updated. */
+const MIN_MEASURED_BUCKETS_COUNT = 4;
 
 /**
- * Weight of one window in an estimate that rises and in one that falls. Work
- * that grows must be seen within the second in which it becomes a queue; work
- * that shrinks in an overload is mostly that of requests whose earlier calls
- * failed, and let in by it, a rank would come as a burst.
+ * Weight of one window in a rising and in a falling estimate. Growing work must
+ * be detected within the second in which it builds up a queue. Work that
+ * shrinks in an overload is mostly that of requests whose earlier calls failed;
+ * if a rank were admitted for it, it would arrive as a burst.
  */
 const RISE_WEIGHT = 0.5;
 const FALL_WEIGHT = 0.1;
 
 const RANKS_COUNT = rankOf(LEAST_IMPORTANT) + 1;
 
-/** Creates an estimate that knows of no demand. */
+/** Creates an estimate without any demand. */
 export function createRankDemand(): RankDemand {
   const windowWork = new Float64Array(RANKS_COUNT);
   const estimates = new Array<number | undefined>(RANKS_COUNT);
   let recentLevels: readonly number[] = [LEAST_IMPORTANT];
 
-  /** Asked for each request, so it is kept. */
+  /** Cached, since it is read for each request. */
   let settled = LEAST_IMPORTANT;
 
   const measure = (rank: number): void => {
     const count = bucketsIn(rank, settled);
-    if (count < TRUSTED_BUCKETS_COUNT) return;
+    if (count < MIN_MEASURED_BUCKETS_COUNT) return;
     const sample = (windowWork[rank] ?? 0) / count;
-    const before = estimates[rank] ?? sample;
-    const weight = sample > before ? RISE_WEIGHT : FALL_WEIGHT;
-    estimates[rank] = before + (sample - before) * weight;
+    const previous = estimates[rank] ?? sample;
+    const weight = sample > previous ? RISE_WEIGHT : FALL_WEIGHT;
+    estimates[rank] = previous + (sample - previous) * weight;
   };
 
-  /** A rank never measured counts like the busiest that was. */
-  const ofRank = (rank: number): number =>
+  /**
+   * A rank that was never measured is assumed to be like the busiest measured
+   * one.
+   */
+  const bucketWorkOf = (rank: number): number =>
     estimates[rank] ?? Math.max(0, ...estimates.map(known => known ?? 0));
 
   return {
@@ -83,24 +89,26 @@
     },
     settledLevel: () => settled,
     lastLevel: () => {
-      const last = estimates.findLastIndex(known => (known ?? 0) > 0);
-      return last < 0 ? LEAST_IMPORTANT : (last + 1) * BUCKETS_COUNT - 1;
+      const lastRank = estimates.findLastIndex(known => (known ?? 0) > 0);
+      return lastRank < 0
+        ? LEAST_IMPORTANT
+        : (lastRank + 1) * BUCKETS_COUNT - 1;
     },
     waitingLevel: () => Math.max(...recentLevels),
     causingLevel: () =>
       Math.max(...recentLevels.slice(0, CAUSING_WINDOWS_COUNT)),
-    bucketWork: importance => ofRank(rankOf(importance)),
+    bucketWork: importance => bucketWorkOf(rankOf(importance)),
     workUpTo: level => {
       let sum = 0;
       for (let rank = 0; rank <= rankOf(level); rank += 1) {
-        sum += ofRank(rank) * bucketsIn(rank, level);
+        sum += bucketWorkOf(rank) * bucketsIn(rank, level);
       }
       return sum;
     },
   };
 }
 
-/** Buckets of a rank that a level lets in. */
+/** Number of buckets of a rank that a level admits. */
 function bucketsIn(rank: number, level: number): number {
   const first = rank * BUCKETS_COUNT;
   return Math.min(BUCKETS_COUNT, Math.max(0, Math.floor(level) - first + 1));
--- a/src/process/admission/rejection_rate.ts
+++ b/src/process/admission/rejection_rate.ts
@@ -1,15 +1,16 @@
 /**
- * How much of what it is handed an upstream rejects.
+ * Rate at which an upstream rejects requests.
  *
- * Load pattern: some upstreams of a service reject half of what they are handed,
- * at once and with free slots. They look idle, and their slots hide the queue of
- * those that everything turns to. What arrives at each tells where work goes.
+ * Load pattern: some upstreams of a service reject half of their requests,
+ * immediately and with free slots. They look idle, and their free slots hide
+ * the queues of the upstreams that receive all other requests. The arrival rate
+ * at each upstream shows where the work goes.
  */
 import type {RejectionFields} from '../../protocol/hop_messages.js';
 
-/** Rate of one upstream. */
+/** Rejection rate of one upstream. */
 export interface RejectionRate {
-  /** Counts a request for the upstream. */
+  /** Records a request for the upstream. */
   recordArrival(): void;
   recordRejected(): void;
   current(): RejectionFields;
@@ -18,12 +19,14 @@
 /** Time over which rates are averaged. */
 const AVERAGE_MILLIS = 500;
 
-/** Rejections per second that are not worth a word. */
+/**
+ * Rejections per second below which an upstream does not count as rejecting.
+ */
 const MIN_REJECTED_PER_SECOND = 0.05;
 
 const MILLIS_PER_SECOND = 1000;
 
-/** Creates a rate of an upstream that has rejected nothing. */
+/** Creates the rate of an upstream that has not rejected any request. */
 export function createRejectionRate(nowMillis: () => number): RejectionRate {
   let rejectedCount = 0;
   let arrivedCount = 0;
@@ -57,7 +60,7 @@
   };
 }
 
-/** Whether more is rejected than is not worth a word. */
+/** Whether the rate of rejections is high enough to be considered. */
 export function isRejecting(rejections: RejectionFields | undefined): boolean {
   return (rejections?.rejectedPerSecond ?? 0) >= MIN_REJECTED_PER_SECOND;
 }
--- a/src/process/admission/upstream_queue.ts
+++ b/src/process/admission/upstream_queue.ts
@@ -1,31 +1,37 @@
 /**
- * Decides which requests the upstream of this host works on, and when.
+ * Decides which requests the upstream of this host processes, and when.
  *
  * Load pattern: more requests arrive than the upstream has slots. An upstream
- * that is handed more than it can hold may stop answering for good, so the
- * queue is kept here: the more important rank goes first, within a rank the
- * more important buckets and the older ones, and what cannot start in time is
- * told at once.
+ * that receives more than it can hold may stop responding permanently, so the
+ * queue is kept here: more important ranks go first, within a rank more
+ * important buckets and older requests, and a request that cannot start in time
+ * is rejected at once.
  */
 import {rankOf} from './importance.js';
 
-/** A request that wants a slot. */
+/** A request for a slot. */
 export interface SlotRequest {
   readonly importance: number;
-  /** When the client's attempt began; older goes first among near equals. */
+  /**
+   * Start of the client's attempt; among nearly equal requests, older ones go
+   * first.
+   */
   readonly beganAtMillis: number;
-  /** Latest useful start. */
+  /** Latest useful start time. */
   readonly startByMillis: number;
-  /** Called when the slot is granted. */
+  /** Called when a slot is granted. */
   start(): void;
-  /** Called when the latest useful start has passed or a place was taken. */
+  /**
+   * Called when the latest useful start time has passed or the request was
+   * evicted from the queue.
+   */
   expire(): void;
 }
 
-/** What became of an offer. */
+/** Result of offering a request. */
 export type OfferResult = 'started' | 'queued' | 'refused';
 
-/** What the queue holds. */
+/** Load of the queue. */
 export interface QueueLoad {
   readonly inFlightCount: number;
   readonly queuedCount: number;
@@ -37,46 +43,53 @@
 /** Queue in front of one upstream. */
 export interface UpstreamQueue {
   offer(request: SlotRequest): OfferResult;
-  /** Gives back a slot that was held for a time. */
+  /** Releases a slot and records the time for which it was held. */
   release(heldMillis: number): void;
-  /** Gives back a slot whose time says nothing about the upstream. */
+  /**
+   * Releases a slot without recording the time, which says nothing about the
+   * upstream.
+   */
   releaseWithoutSample(): void;
-  /** Takes a waiting request out; false if it is not waiting. */
+  /** Removes a waiting request; returns false if it is not waiting. */
   withdraw(request: SlotRequest): boolean;
-  /** Ends the wait of every request. */
+  /** Expires all waiting requests. */
   expireAll(): void;
   setSlots(slotsCount: number): void;
   load(): QueueLoad;
 }
 
 /**
- * Share of the slots in use at most: some upstreams slow down by a third once
+ * Maximum share of the slots in use: some upstreams slow down by a third once
  * more than 95% of their slots are taken.
  */
 const SLOTS_RATIO = 0.95;
 
-/** Small upstreams keep all their slots; a twentieth is less than one. */
+/** Up to this number, all slots are used: a twentieth is less than one slot. */
 const SMALL_SLOTS_COUNT = 8;
 
-/** Slots assumed while the upstream's entry is not known yet. */
+/** Slots assumed until the upstream's entry has been received. */
 const UNKNOWN_SLOTS_COUNT = 16;
 
-/** Waiting requests for each slot; four times its work is seconds of queue. */
+/**
+ * Maximum number of waiting requests per slot; a queue of four times the work
+ * in the slots takes seconds to drain.
+ */
 const QUEUE_RATIO = 4;
 
-/** Weight of one new sample in the mean: about the last fifty count. */
+/** Weight of one sample in the moving average: about the last fifty count. */
 const AVERAGE_WEIGHT = 0.04;
 
-/** Mean assumed before the first answer. */
+/** Mean assumed before the first response. */
 const INITIAL_AVERAGE_MILLIS = 50;
 
 /**
- * Age that makes up for one bucket of importance. Among equals the oldest first
- * lets every request get some of its calls and none of them all; by bucket the
- * same requests go first at every call, and are carried to their end. A rank spans
- * the three seconds that a request has at most, and neighbours still go by age.
+ * Age that outweighs one bucket of importance. If the oldest request went
+ * first, every request would get some of its calls and none would get all; by
+ * bucket, the same requests go first at every call and run to completion. A
+ * rank spans the three seconds that a request has at most, and neighbouring
+ * buckets are still ordered by age.
  */
-const BUCKET_MILLIS = 50;
+const BUCKET_AGE_MILLIS = 50;
 
 /** Creates an empty queue. */
 export function createUpstreamQueue(nowMillis: () => number): UpstreamQueue {
@@ -98,19 +111,19 @@
     }
   };
 
-  const waitFor = (position: number): number =>
+  const expectedWaitMillis = (position: number): number =>
     ((position + 1) * averageMillis) / limitCount;
 
   const enqueue = (request: SlotRequest): OfferResult => {
     const position = positionOf(waiting, request);
-    if (nowMillis() + waitFor(position) > request.startByMillis) {
+    if (nowMillis() + expectedWaitMillis(position) > request.startByMillis) {
       return 'refused';
     }
     waiting.splice(position, 0, request);
     if (waiting.length <= limitCount * QUEUE_RATIO) return 'queued';
-    const last = waiting.pop();
-    if (last === request) return 'refused';
-    last?.expire();
+    const evicted = waiting.pop();
+    if (evicted === request) return 'refused';
+    evicted?.expire();
     return 'queued';
   };
 
@@ -179,5 +192,5 @@
   const rankB = rankOf(b.importance);
   if (rankA !== rankB) return rankA < rankB;
   const olderMillis = b.beganAtMillis - a.beganAtMillis;
-  return (b.importance - a.importance) * BUCKET_MILLIS + olderMillis > 0;
+  return (b.importance - a.importance) * BUCKET_AGE_MILLIS + olderMillis > 0;
 }
--- a/test/unit/process/admission/admission_level.test.ts
+++ b/test/unit/process/admission/admission_level.test.ts
@@ -8,18 +8,18 @@
   LEAST_IMPORTANT,
 } from '../../../../src/process/admission/importance.js';
 
-/** Load on one upstream of 30 slots that needs 40 ms for each call. */
+/** Load on one upstream with 30 slots that needs 40 ms for each call. */
 const SLOTS_COUNT = 30;
 const CALL_MILLIS = 40;
 const CAPACITY_PER_WINDOW = (SLOTS_COUNT * LEVEL_WINDOW_MILLIS) / CALL_MILLIS;
 
 interface WindowDemand {
-  /** Calls of each rank, as a multiple of what the upstream can do. */
+  /** Calls of each rank, relative to the capacity of the upstream. */
   readonly byRank: readonly number[];
 }
 
 interface Replay {
-  /** Share of each rank that was let in over the last ten windows. */
+  /** Admitted share of each rank over the last ten windows. */
   readonly admittedRatios: readonly number[];
   readonly largestQueuedCount: number;
   readonly finalLevel: number;
@@ -27,7 +27,7 @@
 
 /**
  * Replays windows of demand. Calls reach the upstream one window after the
- * entry let their request in, as they do below two other services.
+ * entry node has admitted their request, as below two other services.
  */
 function replay(windows: readonly WindowDemand[]): Replay {
   const level = createAdmissionLevel();
@@ -37,18 +37,18 @@
   const ratios: number[][] = [];
   for (const {byRank} of windows) {
     let arrivedCount = 0;
-    const admitted = byRank.map((share, rank) => {
-      const demand = share * CAPACITY_PER_WINDOW;
+    const admitted = byRank.map((ratio, rank) => {
+      const demand = ratio * CAPACITY_PER_WINDOW;
       const first = rank * BUCKETS_COUNT;
       const buckets = Math.min(
         BUCKETS_COUNT,
         Math.max(0, Math.floor(published) - first + 1),
       );
-      const each = demand / BUCKETS_COUNT;
+      const perBucket = demand / BUCKETS_COUNT;
       for (let index = 0; index < buckets; index += 1) {
-        level.recordArrival(first + index, each * CALL_MILLIS);
+        level.recordArrival(first + index, perBucket * CALL_MILLIS);
       }
-      arrivedCount += each * buckets;
+      arrivedCount += perBucket * buckets;
       return buckets / BUCKETS_COUNT;
     });
     published = level.level();
@@ -77,29 +77,30 @@
   return Array.from({length: count}, () => ({byRank}));
 }
 
-test('within its capacity an upstream lets everything in', t => {
+test('an upstream within its capacity admits every request', t => {
   const {finalLevel, largestQueuedCount} = replay(repeat([0.4, 0.1, 0.4], 30));
   t.is(finalLevel, LEAST_IMPORTANT);
   t.is(largestQueuedCount, 0);
 });
 
 test('a burst is shed from the least important rank only', t => {
-  // Symptom: a burst ruins orders. Its calls meet in one service, which refuses
-  // some call of nearly every request. Cause: nothing is shed by importance at
-  // the entry. Here demand is 1.7 times the capacity, 0.9 of it unimportant.
+  // Guards against a burst that fails nearly every order: its calls converge on
+  // one service, which rejects some call of almost each request unless the
+  // entry nodes shed by importance. Demand is 1.7 times the capacity here, 0.9
+  // of it unimportant.
   const {admittedRatios} = replay(repeat([0.6, 0.2, 0.9], 60));
   t.is(admittedRatios[0], 1);
   t.is(admittedRatios[1], 1);
   t.true(admittedRatios[2]! > 0.1 && admittedRatios[2]! < 0.45);
 });
 
-test('a rank that alone exceeds the capacity is shed in part', t => {
+test('a rank that alone exceeds the capacity is shed partially', t => {
   const {admittedRatios} = replay(repeat([1.8, 0.2], 80));
   t.true(admittedRatios[0]! > 0.4 && admittedRatios[0]! < 0.65);
   t.is(admittedRatios[1], 0);
 });
 
-test('the level is back soon after the burst', t => {
+test('the level recovers soon after the burst', t => {
   const calm = repeat([0.3, 0.1, 0.3], 25);
   const {finalLevel, admittedRatios} = replay([
     ...repeat([0.6, 0.2, 0.9], 40),
--- a/test/unit/process/admission/call_trees.test.ts
+++ b/test/unit/process/admission/call_trees.test.ts
@@ -12,7 +12,7 @@
   grant: createRetryGrant(2),
 };
 
-test('a tree follows what requests of the route reach', t => {
+test('a call tree follows the services that requests of the route reach', t => {
   const trees = createCallTrees();
   t.is(trees.callCountsOf('route').size, 0);
   trees.observe('route', new Map([['catalogue', 4]]));
@@ -24,10 +24,11 @@
   t.true(Math.abs(trees.callCountsOf('route').get('tileyard')! - 2) < 0.01);
 });
 
-test('a tree is learned from requests that failed until one succeeds', t => {
-  // Symptom: a node that starts in an overload lets in what fails three hops
-  // below, again and again. Cause: it learns which services a route reaches from
-  // successes only, and there are none while it lets everything in.
+test('a call tree is learned from failed requests until one succeeds', t => {
+  // Guards against a node that starts during an overload and keeps admitting
+  // requests that fail three hops below: it learned the services of a route
+  // from successful requests only, and there are none while it admits
+  // everything.
   const trees = createCallTrees();
   trees.observeFailed('route', new Map([['desk', 1]]));
   trees.observeFailed(
@@ -55,7 +56,7 @@
   t.is(parents.find('root.a.b'), undefined);
 });
 
-test('calls and failures below a request are gathered', t => {
+test('calls and failures below a request are collected', t => {
   const parent = createInFlightParents().open('root', ORIGIN);
   parent.addCalls(new Map([['catalogue', 1]]));
   parent.addCalls(new Map([['catalogue', 2]]));
--- a/test/unit/process/admission/entry_admission.test.ts
+++ b/test/unit/process/admission/entry_admission.test.ts
@@ -7,14 +7,17 @@
 
 function createFixture() {
   const now = 1000;
-  const board = createLoadTable(() => now);
+  const loadTable = createLoadTable(() => now);
   const absent = new Set<string>();
-  const gate = createEntryAdmission(board, service => !absent.has(service));
+  const entryAdmission = createEntryAdmission(
+    loadTable,
+    service => !absent.has(service),
+  );
   return {
     absent,
-    gate,
+    entryAdmission,
     observe: (service: string, level: number) => {
-      board.observe({
+      loadTable.observe({
         upstreamId: `${service}-1`,
         service,
         inFlightCount: 10,
@@ -28,35 +31,39 @@
   };
 }
 
-test('a request is turned away for the service deep below that sheds it', t => {
-  const {gate, observe} = createFixture();
+test('a request is rejected for the service deep in its call tree that sheds it', t => {
+  const {entryAdmission, observe} = createFixture();
   observe('shop', LEAST_IMPORTANT);
   observe('stock', 2);
   const tree = new Map([
     ['shop', 1],
     ['stock', 4],
   ]);
-  t.deepEqual(gate.shedCause(REQUEST, 'shop', tree), {
+  t.deepEqual(entryAdmission.shedCause(REQUEST, 'shop', tree), {
     service: 'stock',
     reason: 'overload',
   });
-  t.is(gate.shedCause(REQUEST, 'shop', new Map()), undefined);
+  t.is(entryAdmission.shedCause(REQUEST, 'shop', new Map()), undefined);
   const rarely = new Map([['stock', 0.1]]);
-  t.is(gate.shedCause(REQUEST, 'shop', rarely), undefined);
+  t.is(entryAdmission.shedCause(REQUEST, 'shop', rarely), undefined);
 });
 
-test('what needs a service without upstreams is turned away before it costs', t => {
-  // Symptom: while a service deep in the graph is gone, requests run through
-  // all others and fail at its calls; orders cannot be sent again after that.
-  // Sequence: the hosts of the service are cut from the store, and its entries
-  // lapse. Cause: the entry looked at loads only, and nobody reported one.
-  const {gate, absent} = createFixture();
+test('a request that needs a service without upstreams is rejected before any work is done', t => {
+  // Guards against requests that pass all other services and fail at the calls
+  // to a service without upstreams; orders cannot be retried after that.
+  // Happened when the hosts of the service were partitioned from the store and
+  // its entries expired: the entry node considered loads only, and no node
+  // reported one.
+  const {entryAdmission, absent} = createFixture();
   absent.add('stock');
-  t.deepEqual(gate.shedCause(REQUEST, 'shop', new Map([['stock', 1]])), {
-    service: 'stock',
-    reason: 'no-upstream',
-  });
-  // Half of its like can be served without the service.
+  t.deepEqual(
+    entryAdmission.shedCause(REQUEST, 'shop', new Map([['stock', 1]])),
+    {
+      service: 'stock',
+      reason: 'no-upstream',
+    },
+  );
+  // Half of the requests of this kind can be served without the service.
   const often = new Map([['stock', 0.5]]);
-  t.is(gate.shedCause(REQUEST, 'shop', often), undefined);
+  t.is(entryAdmission.shedCause(REQUEST, 'shop', often), undefined);
 });
--- a/test/unit/process/admission/fleet_overload.test.ts
+++ b/test/unit/process/admission/fleet_overload.test.ts
@@ -27,7 +27,7 @@
   route('lookup', 'catalogue', 0, [54, 700, 300], []),
 ];
 
-/** Clients by what the catalogue could do for all of them: 1 is its limit. */
+/** Client load relative to the capacity of the catalogue: 1 is its limit. */
 function replayAt(
   ratio: number,
   seed: number,
@@ -78,17 +78,17 @@
 const SETTLED_SECOND = 3;
 
 for (const seed of [1, 2, 3]) {
-  test(`replay ${seed}: in a burst, what a service runs ends well`, t => {
-    // Symptom: of 12,090 requests that a service ran in a burst of 1.8 times the
-    // usual load, 8,811 ended badly, for want of a call three hops below. Of a
-    // kind that could have been served to a fifth, an eighth was; a more
-    // important one was refused while the less important was let in.
-    // Sequence: the burst is let in for a second. Its lookups wait behind those
-    // of more important requests, each a little too long; all of them are given
-    // up after part of their calls, which then look like little demand. The
-    // nodes of the service each shed at a level of their own.
-    // Cause: among equals the queue took the oldest, so that none got all of its
-    // calls; the fast upstream's queue was taken for an overload of the service.
+  test(`replay ${seed}: most requests that a service runs in a burst succeed`, t => {
+    // Guards against wasted work in a burst of 1.8 times the usual load: of
+    // 12,090 requests that a service ran, 8,811 failed for a missing call three
+    // hops below. Of one kind that could have been served to a fifth, an eighth
+    // was, and a more important kind was rejected while a less important one
+    // was admitted. The burst is admitted for a second, and its lookups wait
+    // behind those of more important requests until all of them are abandoned
+    // after part of their calls, which then look like little demand. Causes:
+    // among equals the queue took the oldest, so that none got all of its
+    // calls; the queue of the fast upstream counted as an overload of the
+    // service; and the nodes of the service each shed at a different level.
     const outcome = replayAt(1.6, seed, 7);
     const runs = [...outcome.services.values()].map(seconds =>
       sumSeconds(seconds, SETTLED_SECOND),
@@ -115,7 +115,7 @@
   });
 }
 
-test('within its capacity a fleet serves everything', t => {
+test('a fleet within its capacity serves every request', t => {
   const outcome = replayAt(0.8, 4, 4);
   for (const [name, seconds] of outcome.routes) {
     const {inTimeCount, sentCount} = sumSeconds(seconds, 0);
@@ -123,12 +123,12 @@
   }
 });
 
-test('what upstreams reject is kept out, and the rest is served', t => {
-  // Symptom: three of four upstreams of a service reject half of what they are
-  // handed, at once and with free slots. Of the requests whose calls meet there
-  // 0.6 fail after others have worked for them, the most important first of all,
-  // for they make most calls. Cause: an upstream that rejects looks idle, so the
-  // service's level lets everything in.
+test('requests that upstreams would reject are shed at the entry node, others are served', t => {
+  // Guards against requests that fail after other services have worked for
+  // them: three of four upstreams of a service reject half of their requests
+  // immediately and with free slots. They look idle, so the service's level
+  // admitted everything, and 0.6 of the requests with calls there failed, the
+  // most important ones first, since they make the most calls.
   const rejecting = SERVICES.map(service =>
     service.name === 'catalogue'
       ? {...service, rejectRatios: [0.55, 0, 0.55, 0.55]}
--- a/test/unit/process/admission/importance.test.ts
+++ b/test/unit/process/admission/importance.test.ts
@@ -4,7 +4,7 @@
   rankOfRequest,
 } from '../../../../src/process/admission/importance.js';
 
-test('the rank of an organisation goes before that of a route', t => {
+test('the rank of an organisation takes precedence over that of a route', t => {
   const rank = (organisationRank: number | undefined, routeRank: number) =>
     rankOfRequest({routeRank, lowestRouteRank: 2, organisationRank});
   const ranks = [rank(0, 0), rank(0, 2), rank(1, 0), rank(1, 2)];
--- a/test/unit/process/admission/load_poller.test.ts
+++ b/test/unit/process/admission/load_poller.test.ts
@@ -6,7 +6,7 @@
 function createFixture() {
   let now = 0;
   const loadTable = createLoadTable(() => now);
-  const questions = createLoadPoller({
+  const poller = createLoadPoller({
     loadTable,
     ownUpstreamId: () => 'own',
     nowMillis: () => now,
@@ -25,7 +25,7 @@
   };
   return {
     loadTable,
-    questions,
+    poller,
     report,
     advance: (millis: number) => {
       now += millis;
@@ -33,37 +33,38 @@
   };
 }
 
-test('a node that turns everything away goes on hearing of the level', t => {
-  // Symptom: half of what is let in for a service that sheds fails below the
-  // entry. Sequence: nodes turn their clients away, send nothing, and hear
-  // nothing; a second later their picture begins to age, and lets all in again.
-  // Cause: loads came with answers only.
-  const {questions, report, advance} = createFixture();
+test('a node that rejects every request keeps receiving the level', t => {
+  // Guards against requests that are admitted for a service that sheds, half of
+  // which failed below the entry node: a node that rejects all requests of its
+  // clients sends nothing and received reports with responses only; a second
+  // later its reports began to age, and it admitted everything again.
+  const {poller, report, advance} = createFixture();
   report('other', 40);
-  questions.recordShed('catalogue');
-  t.deepEqual(questions.dueServices(), []);
+  poller.recordShed('catalogue');
+  t.deepEqual(poller.dueServices(), []);
   advance(400);
   report('own', 40);
-  t.deepEqual(questions.dueServices(), ['catalogue']);
-  t.deepEqual(questions.dueServices(), []);
+  t.deepEqual(poller.dueServices(), ['catalogue']);
+  t.deepEqual(poller.dueServices(), []);
   advance(400);
-  t.deepEqual(questions.dueServices(), ['catalogue']);
+  t.deepEqual(poller.dueServices(), ['catalogue']);
   report('other', 40);
   advance(300);
-  t.deepEqual(questions.dueServices(), []);
+  t.deepEqual(poller.dueServices(), []);
 });
 
-test('nobody asks who has turned nothing away for a second', t => {
-  const {questions, advance} = createFixture();
-  t.deepEqual(questions.dueServices(), []);
-  questions.recordShed('catalogue');
+test('a node that has rejected nothing for a second does not poll', t => {
+  const {poller, advance} = createFixture();
+  t.deepEqual(poller.dueServices(), []);
+  poller.recordShed('catalogue');
   advance(1001);
-  t.deepEqual(questions.dueServices(), []);
+  t.deepEqual(poller.dueServices(), []);
 });
 
-test('upstreams not heard of lately do not raise the level of those that are', t => {
-  // Symptom: as above, at a node that hears one of four upstreams. Cause: the
-  // levels of the other three were let go with age, and theirs was the median.
+test('upstreams with outdated reports do not raise the level of those with fresh ones', t => {
+  // Guards against the same at a node that receives reports of one of four
+  // upstreams: the levels of the other three rose with age, and theirs was the
+  // median.
   const {loadTable, report, advance} = createFixture();
   for (const id of ['a', 'b', 'c', 'd']) report(id, 10);
   advance(2500);
--- a/test/unit/process/admission/upstream_queue.test.ts
+++ b/test/unit/process/admission/upstream_queue.test.ts
@@ -3,7 +3,9 @@
 import {createUpstreamQueue} from '../../../../src/process/admission/upstream_queue.js';
 import {BUCKETS_COUNT} from '../../../../src/process/admission/importance.js';
 
-/** A queue on a manual clock, with the names of requests as they start. */
+/**
+ * A queue on a manual clock, with the names of started and expired requests.
+ */
 function createFixture(slotsCount: number) {
   let now = 0;
   const started: string[] = [];
@@ -32,9 +34,9 @@
   };
 }
 
-test('never more requests are at work than the limit', t => {
-  // Symptom: an upstream stops answering for good. It was handed more requests
-  // than it has slots and places in its queue. Cause: no limit at its node.
+test('the number of requests in flight never exceeds the limit', t => {
+  // Guards against an upstream that stops responding permanently because its
+  // node sent more requests than it has slots and places in its queue.
   const {queue, request, started} = createFixture(4);
   for (let index = 0; index < 12; index += 1) {
     queue.offer(request(String(index)));
@@ -45,7 +47,7 @@
   t.deepEqual(started, ['4']);
 });
 
-test('a twentieth of many slots stays free, none of a few', t => {
+test('a twentieth of the slots stays free, unless there are only a few', t => {
   const many = createFixture(100);
   t.is(many.queue.load().limitCount, 95);
   const few = createFixture(8);
@@ -54,7 +56,7 @@
   t.is(none.queue.load().limitCount, 1);
 });
 
-test('the more important rank goes first, then what began first', t => {
+test('the more important rank goes first, then the oldest attempt', t => {
   const {queue, request, started} = createFixture(1);
   queue.offer(request('running'));
   queue.offer(request('late', {importance: 2 * BUCKETS_COUNT}));
@@ -65,9 +67,9 @@
 });
 
 test('within a rank the same requests go first at every call', t => {
-  // Symptom: of requests of four calls that a service could serve to a fifth,
-  // next to none is served. Cause: by age alone, each gets its calls up to the
-  // one that comes too late, and none gets all.
+  // Guards against a service that could serve a fifth of requests with four
+  // calls but serves almost none: ordered by age alone, each request gets its
+  // calls up to the one that comes too late, and none gets all.
   const {queue, request, started} = createFixture(1);
   queue.offer(request('running'));
   queue.offer(request('shed last', {importance: 3, beganAtMillis: 400}));
@@ -77,14 +79,14 @@
   t.deepEqual(started, ['near', 'shed last', 'shed first']);
 });
 
-test('what cannot start in time is refused as it arrives', t => {
+test('a request that cannot start in time is refused on arrival', t => {
   const {queue, request} = createFixture(1);
   queue.offer(request('running'));
   t.is(queue.offer(request('hopeless', {startByMillis: 5})), 'refused');
   t.is(queue.offer(request('possible', {startByMillis: 500})), 'queued');
 });
 
-test('a wait that is over is not started when a slot becomes free', t => {
+test('an expired request is not started when a slot becomes free', t => {
   const {queue, request, started, expired, setNow} = createFixture(1);
   queue.offer(request('running'));
   queue.offer(request('over', {startByMillis: 100}));
@@ -95,7 +97,7 @@
   t.deepEqual(started, ['next']);
 });
 
-test('a full queue gives up its least important request', t => {
+test('a full queue evicts its least important request', t => {
   const {queue, request, expired} = createFixture(1);
   const patient = {startByMillis: 100_000};
   queue.offer(request('running', patient));
