--- a/src/process/placement/placement.ts
+++ b/src/process/placement/placement.ts
@@ -1,11 +1,12 @@
 /**
  * Chooses the upstream that a request is sent to.
  *
- * Load pattern: upstreams of one service differ in speed, some turn slow or
- * fail part of their requests, some have just started. The choice is the one
- * that is expected to answer first, by what its node reported last and what
- * this node has sent there since; distance counts as time, so that requests
- * stay in their zone unless another one serves them sooner.
+ * Load pattern: the upstreams of a service differ in speed, some become slow or
+ * fail part of their requests, and some have just started. The upstream with
+ * the lowest expected response time is chosen, based on the last report of its
+ * node and on the requests that this node has sent there since. Distance counts
+ * as time, so that requests stay in their zone unless another one serves them
+ * sooner.
  */
 import type {LoadTable, LoadReport} from '../admission/load_table.js';
 import {createProbeLimiter} from './probe_limiter.js';
@@ -22,10 +23,10 @@
 export interface Placement {
   readonly upstream: KnownUpstream;
   /** Must be called once when the attempt has ended. */
-  end(how: AttemptOutcome): void;
+  end(outcome: AttemptOutcome): void;
 }
 
-/** Chooses upstreams. */
+/** Chooses upstreams for the requests of one node. */
 export interface PlacementChooser {
   choose(
     service: string,
@@ -34,26 +35,29 @@
     goal?: PlacementGoal,
   ): Placement | undefined;
   /**
-   * Whether there is an upstream beside the excluded ones that is not known to
-   * be out of reach: an attempt given up for such a one leaves the request with
-   * no upstream at work on it, and it fails.
+   * Whether there is an upstream other than the excluded ones that is not known
+   * to be unreachable. Abandoning an attempt for an unreachable upstream would
+   * leave the request without any upstream working on it, and it would fail.
    */
   hasAlternative(
     service: string,
     excludedIds: ReadonlySet<string>,
     isLost?: (entry: UpstreamEntry) => boolean,
   ): boolean;
-  /** The same, where one that failed before may be tried again by now. */
+  /**
+   * Like `hasAlternative`, but an upstream that failed before counts again once
+   * it may be retried.
+   */
   hasReachableAlternative(
     service: string,
     excludedIds: ReadonlySet<string>,
     isLost: (entry: UpstreamEntry) => boolean,
   ): boolean;
-  /** Forgets upstreams that are no longer known. */
+  /** Removes the statistics of upstreams that are no longer known. */
   expire(): void;
 }
 
-/** What a chooser needs. */
+/** Dependencies of a placement chooser. */
 export interface PlacementOptions {
   readonly directory: UpstreamDirectory;
   readonly loadTable: LoadTable;
@@ -65,47 +69,51 @@
   readonly random: () => number;
 }
 
-/** Service time assumed while no node has reported on the service. */
+/** Service time assumed until a node has reported on the service. */
 const UNKNOWN_AVERAGE_MILLIS = 50;
 
 /**
- * An upstream that this node has sent nothing for this long may get a probe:
- * otherwise a slow past, or no past at all, would never be corrected.
+ * Time without requests from this node after which an upstream may be probed:
+ * otherwise outdated or missing measurements would never be corrected.
  */
-const PROBE_MILLIS = 1500;
+const PROBE_AFTER_MILLIS = 1500;
 
-/** A load reported longer ago says little about now: a queue drains in less. */
-const KNOWN_LOAD_MILLIS = 1000;
+/**
+ * Age from which a load report says little about the present: a queue drains in
+ * less.
+ */
+const MAX_REPORT_AGE_MILLIS = 1000;
 
-/** Creates a chooser without history. */
+/** Creates a chooser without any statistics. */
 export function createPlacementChooser(
   options: PlacementOptions,
 ): PlacementChooser {
   const {directory, loadTable, nowMillis, random} = options;
-  const records = new Map<string, UpstreamStats>();
-  const ration = createProbeLimiter(nowMillis);
+  const statsById = new Map<string, UpstreamStats>();
+  const probeLimiter = createProbeLimiter(nowMillis);
 
-  const recordOf = (upstream: KnownUpstream): UpstreamStats => {
+  const statsOf = (upstream: KnownUpstream): UpstreamStats => {
     const {entry} = upstream;
-    const known = records.get(entry.id);
+    const known = statsById.get(entry.id);
     if (known !== undefined && isSameStart(known.start, entry)) return known;
     const created: UpstreamStats = {
       start: entry,
       ownInFlightCount: 0,
       averageMillis: undefined,
       slownessRatio: undefined,
-      lastSentMillis: upstream.firstSeenMillis - PROBE_MILLIS * random(),
+      lastSentMillis: upstream.firstSeenMillis - PROBE_AFTER_MILLIS * random(),
       failedRatio: 0,
       failuresInARow: 0,
       avoidUntilMillis: 0,
     };
-    records.set(entry.id, created);
+    statsById.set(entry.id, created);
     return created;
   };
 
   /**
-   * What nothing is known of is taken to be as fast as its service. Taken to be
-   * faster, one that is too slow to answer at all would get every request.
+   * An upstream without statistics is assumed to be as fast as its service. If
+   * it were assumed to be faster, one that is too slow to respond at all would
+   * get every request.
    */
   const serviceMillis = ({entry}: KnownUpstream): number =>
     loadTable.serviceLoadOf(entry.service)?.averageMillis ??
@@ -116,7 +124,7 @@
     now: number,
     goal: PlacementGoal | undefined,
   ): number => {
-    const stats = recordOf(upstream);
+    const stats = statsOf(upstream);
     const report = loadTable.find(upstream.entry.id);
     stats.averageMillis = report?.averageMillis ?? stats.averageMillis;
     stats.slownessRatio = report?.slownessRatio ?? stats.slownessRatio;
@@ -132,19 +140,20 @@
   };
 
   /**
-   * Any that has been left alone: nodes that share a list would otherwise all
-   * probe the first in it at the same moment, and never the last.
+   * Picks a random upstream without recent requests: nodes that share a list
+   * would otherwise all probe its first upstream at the same moment, and never
+   * its last.
    */
   const pickProbe = (
     candidates: readonly KnownUpstream[],
     now: number,
   ): KnownUpstream | undefined => {
-    const left = candidates.filter(
+    const idle = candidates.filter(
       candidate =>
-        recordOf(candidate).lastSentMillis + PROBE_MILLIS < now &&
-        !isKnownFull(loadTable.find(candidate.entry.id), now),
+        statsOf(candidate).lastSentMillis + PROBE_AFTER_MILLIS < now &&
+        !hasRecentQueue(loadTable.find(candidate.entry.id), now),
     );
-    return left[Math.floor(random() * left.length)];
+    return idle[Math.floor(random() * idle.length)];
   };
 
   const pickBest = (
@@ -164,21 +173,21 @@
   };
 
   /**
-   * A repeat is no probe: one that has just waited in vain for an upstream that
-   * is cut off would wait in vain for the next.
+   * A retry is never used as a probe: after an attempt that timed out at a
+   * partitioned upstream, the probe would time out at the next one.
    */
   const pick = (
     service: string,
-    isRepeat: boolean,
+    isRetry: boolean,
     candidates: readonly KnownUpstream[],
     now: number,
     goal: PlacementGoal | undefined,
   ): KnownUpstream | undefined => {
-    const isDue = !isRepeat && ration.mayProbe(service);
-    const probed = isDue ? pickProbe(candidates, now) : undefined;
-    if (probed === undefined) return pickBest(candidates, now, goal);
-    ration.recordProbe(service);
-    return probed;
+    const isDue = !isRetry && probeLimiter.mayProbe(service);
+    const probe = isDue ? pickProbe(candidates, now) : undefined;
+    if (probe === undefined) return pickBest(candidates, now, goal);
+    probeLimiter.recordProbe(service);
+    return probe;
   };
 
   const canReach = (
@@ -186,7 +195,7 @@
     isLost: (entry: UpstreamEntry) => boolean,
     now: number,
   ): boolean =>
-    recordOf(upstream).avoidUntilMillis <= now && !isLost(upstream.entry);
+    statsOf(upstream).avoidUntilMillis <= now && !isLost(upstream.entry);
 
   return {
     choose: (service, excludedIds, isLost = () => false, goal) => {
@@ -205,7 +214,7 @@
         goal,
       );
       if (chosen === undefined) return undefined;
-      return openPlacement(chosen, recordOf(chosen), nowMillis);
+      return openPlacement(chosen, statsOf(chosen), nowMillis);
     },
     hasAlternative: (service, excludedIds, isLost = () => false) =>
       directory
@@ -213,7 +222,7 @@
         .some(
           upstream =>
             !excludedIds.has(upstream.entry.id) &&
-            recordOf(upstream).failuresInARow === 0 &&
+            statsOf(upstream).failuresInARow === 0 &&
             !isLost(upstream.entry),
         ),
     hasReachableAlternative: (service, excludedIds, isLost) => {
@@ -227,39 +236,39 @@
         );
     },
     expire: () => {
-      for (const id of records.keys()) {
-        if (directory.find(id) === undefined) records.delete(id);
+      for (const id of statsById.keys()) {
+        if (directory.find(id) === undefined) statsById.delete(id);
       }
     },
   };
 }
 
 /**
- * Heard a moment ago to have a queue: a probe would learn nothing but that, and
- * a request with little time to wait would be refused for it.
+ * Whether a recent report shows a queue. A probe would only confirm it, and a
+ * request with little time to wait would be rejected for it.
  */
-function isKnownFull(report: LoadReport | undefined, now: number): boolean {
+function hasRecentQueue(report: LoadReport | undefined, now: number): boolean {
   if (report === undefined) return false;
   return (
-    report.queuedCount > 0 && report.madeAtMillis + KNOWN_LOAD_MILLIS > now
+    report.queuedCount > 0 && report.madeAtMillis + MAX_REPORT_AGE_MILLIS > now
   );
 }
 
 function openPlacement(
   upstream: KnownUpstream,
-  record: UpstreamStats,
+  stats: UpstreamStats,
   nowMillis: () => number,
 ): Placement {
   let isOpen = true;
-  record.ownInFlightCount += 1;
-  record.lastSentMillis = nowMillis();
+  stats.ownInFlightCount += 1;
+  stats.lastSentMillis = nowMillis();
   return {
     upstream,
-    end: how => {
+    end: outcome => {
       if (!isOpen) return;
       isOpen = false;
-      record.ownInFlightCount -= 1;
-      recordAttemptOutcome(record, how, nowMillis());
+      stats.ownInFlightCount -= 1;
+      recordAttemptOutcome(stats, outcome, nowMillis());
     },
   };
 }
--- a/src/process/placement/probe_limiter.ts
+++ b/src/process/placement/probe_limiter.ts
@@ -1,58 +1,61 @@
 /**
- * Rations the requests that are sent somewhere only to learn about it.
+ * Limits the requests that are sent to an upstream only to measure it.
  *
  * Load pattern: a service has more upstreams than one node sends requests in
- * the time after which its picture of an upstream counts as old. Without a
- * ration every request is then sent to learn: none goes where it is served
- * best, two thirds leave their zone, and a slow upstream gets as many as a fast
- * one.
+ * the time after which a measurement counts as outdated. Without a limit, every
+ * request becomes a probe: none goes where it is served best, two thirds leave
+ * their zone, and a slow upstream gets as many as a fast one.
  */
 
-/** Rations of one node, one for each service. */
+/** Probe limits of one node, one for each service. */
 export interface ProbeLimiter {
   /** Counts a choice for a service and returns whether it may be a probe. */
   mayProbe(service: string): boolean;
-  /** A probe was sent. */
+  /** Records that a probe was sent. */
   recordProbe(service: string): void;
 }
 
-interface Ration {
+interface ProbeCounter {
   choicesCount: number;
-  takenMillis: number;
+  lastProbeMillis: number;
 }
 
 /**
- * Of a busy node one request in so many is a probe: what the slowest upstream
- * costs is then at most a tenth of what it would cost a fair share.
+ * One in so many requests of a busy node is a probe: the slowest upstream then
+ * costs at most a tenth of what it would cost with a fair share of the
+ * requests.
  */
 const CHOICES_PER_PROBE_COUNT = 10;
 
-/** A node with few requests probes at this interval all the same. */
+/** Interval after which a node with few requests sends a probe nevertheless. */
 const PROBE_INTERVAL_MILLIS = 1500;
 
-/** Creates rations; each is first due an interval after its first choice. */
+/**
+ * Creates probe limits; a first probe is due an interval after the first
+ * choice.
+ */
 export function createProbeLimiter(nowMillis: () => number): ProbeLimiter {
-  const rations = new Map<string, Ration>();
+  const counters = new Map<string, ProbeCounter>();
 
-  const rationOf = (service: string): Ration => {
-    const known = rations.get(service);
+  const counterOf = (service: string): ProbeCounter => {
+    const known = counters.get(service);
     if (known !== undefined) return known;
-    const created = {choicesCount: 0, takenMillis: nowMillis()};
-    rations.set(service, created);
+    const created = {choicesCount: 0, lastProbeMillis: nowMillis()};
+    counters.set(service, created);
     return created;
   };
 
   return {
     mayProbe: service => {
-      const ration = rationOf(service);
-      ration.choicesCount += 1;
-      if (ration.choicesCount >= CHOICES_PER_PROBE_COUNT) return true;
-      return nowMillis() - ration.takenMillis >= PROBE_INTERVAL_MILLIS;
+      const counter = counterOf(service);
+      counter.choicesCount += 1;
+      if (counter.choicesCount >= CHOICES_PER_PROBE_COUNT) return true;
+      return nowMillis() - counter.lastProbeMillis >= PROBE_INTERVAL_MILLIS;
     },
     recordProbe: service => {
-      const ration = rationOf(service);
-      ration.choicesCount = 0;
-      ration.takenMillis = nowMillis();
+      const counter = counterOf(service);
+      counter.choicesCount = 0;
+      counter.lastProbeMillis = nowMillis();
     },
   };
 }
--- a/src/process/placement/relative_slowness.ts
+++ b/src/process/placement/relative_slowness.ts
@@ -1,35 +1,38 @@
 /**
- * How slow an upstream is beside the others of its service, whatever mix of
- * requests it is given.
+ * Slowness of an upstream relative to the others of its service, independent of
+ * the mix of requests that it receives.
  *
  * Load pattern: a service runs short calls and long requests. An upstream that
- * happens to get mostly long ones has a long mean time, is taken to be slow, and
- * gets no short ones, so that its mean never falls: it idles while the others
- * queue and the service sheds. Each request is therefore measured against what
- * its like usually takes, as its sender knows from all upstreams.
+ * happens to get mostly long ones has a long mean time, looks slow and gets no
+ * short ones, so that its mean never falls: it idles while the others queue and
+ * the service sheds. Each request is therefore compared with the usual time of
+ * its kind, which its sender measures over all upstreams.
  */
 
-/** Slowness of one upstream. */
+/** Relative slowness of one upstream. */
 export interface RelativeSlowness {
-  /** An answer took this long where its like usually takes so long. */
+  /**
+   * Records that a request held a slot for `heldMillis` where its kind usually
+   * takes `usualMillis`.
+   */
   observe(heldMillis: number, usualMillis: number): void;
-  /** 1 is usual, 2 takes twice as long; `undefined` while too little is known. */
+  /** 1 is usual, 2 takes twice as long; `undefined` with too few samples. */
   ratio(): number | undefined;
 }
 
-/** Answers before the ratio is reported. */
+/** Samples required before the ratio is reported. */
 const MIN_SAMPLES_COUNT = 5;
 
-/** Weight of one new sample in the mean: about the last fifty count. */
+/** Weight of one sample in the moving average: about the last fifty count. */
 const SAMPLE_WEIGHT = 0.04;
 
 /**
- * A sample counts at most so much: the work of a few requests is many times the
- * usual, and says nothing about the upstream.
+ * Upper bound of a sample: a few requests take many times the usual, which says
+ * nothing about the upstream.
  */
 const MAX_SAMPLE_RATIO = 8;
 
-/** Creates the slowness of an upstream of which nothing is known. */
+/** Creates the slowness of an upstream without samples. */
 export function createRelativeSlowness(): RelativeSlowness {
   let samplesCount = 0;
   let meanRatio = 1;
--- a/src/process/placement/upstream_score.ts
+++ b/src/process/placement/upstream_score.ts
@@ -1,23 +1,26 @@
 /**
- * How well an upstream suits a request: the time in which it is expected to
- * answer, with failures and distance counted as time; the least is chosen.
+ * Scores the upstreams for a request by the expected response time, with
+ * failures and distance converted to time; the lowest score is chosen.
  */
 import type {LoadReport} from '../admission/load_table.js';
 import type {KnownUpstream} from '../membership/known_upstream.js';
-import type {UpstreamSnapshot} from './expected_answer.js';
-import {busyRatioOf, expectedAnswerMillis} from './expected_answer.js';
+import type {UpstreamSnapshot} from './expected_response.js';
+import {busyRatioOf, expectedResponseMillis} from './expected_response.js';
 import type {UpstreamStats} from './upstream_stats.js';
 import {sameZoneAllowanceMillis} from './zone_preference.js';
 
-/** What a request wants of its upstream. */
+/** Latency goal of a request. */
 export interface PlacementGoal {
-  /** Time in which an answer has its full value. */
+  /** Time within which a response has its full value. */
   readonly objectiveMillis: number;
-  /** Mean time of answers to its like, if any has come. */
+  /**
+   * Mean response time of requests of its kind; `undefined` before the first
+   * response.
+   */
   readonly usualMillis: number | undefined;
 }
 
-/** Where the sender is. */
+/** Location of the sending node. */
 export interface SenderLocation {
   readonly hostKey: string;
   readonly zone: string;
@@ -29,62 +32,73 @@
   readonly upstream: KnownUpstream;
   readonly stats: UpstreamStats;
   readonly report: LoadReport | undefined;
-  /** Mean time for which one of all its requests holds a slot. */
+  /** Mean time for which its requests hold a slot. */
   readonly averageMillis: number;
-  /** Left out, nothing is known of the request. */
+  /** `undefined` if nothing is known of the request. */
   readonly goal: PlacementGoal | undefined;
   /** Uniform in [0, 1). */
   readonly noise: number;
   readonly now: number;
 }
 
-/** Expected to add to an answer: a round trip, and bytes between zones. */
+/**
+ * Latency that distance adds to a response: a round trip, and the transfer
+ * between zones.
+ */
 const SAME_ZONE_MILLIS = 1;
 const OTHER_ZONE_MILLIS = 6;
 const OTHER_REGION_MILLIS = 40;
 
 /**
- * Share by which an upstream in another zone must be expected to answer sooner:
- * bytes between zones are paid for, and users do not notice less.
+ * Ratio by which an upstream in another zone must be expected to respond
+ * sooner: traffic between zones is billed, and users do not notice a smaller
+ * difference.
  */
 const OTHER_ZONE_RATIO = 0.2;
 
 /**
- * Time that a certain failure costs: what a repeat elsewhere takes, 400 ms, at
- * the weight of a wait, so that a request that can wait is not sent where it fails.
+ * Time that a certain failure costs: the 400 ms that a retry at another
+ * upstream takes, at the weight of a wait, so that a request that can wait is
+ * not sent where it fails.
  */
 const FAILURE_MILLIS = 1600;
 
-/** Random part of a score, so that nodes with equal pictures spread. */
+/**
+ * Random part of a score, so that nodes with equal reports spread their
+ * requests.
+ */
 const NOISE_RATIO = 0.1;
 
-/** Score of an upstream for a request that begins at a place. */
+/** Score of an upstream for a request that is sent from a location. */
 export function upstreamScore(
-  place: SenderLocation,
-  scored: UpstreamCandidate,
+  location: SenderLocation,
+  candidate: UpstreamCandidate,
 ): number {
-  const {upstream, stats, goal} = scored;
-  const state = expectationOf(scored);
-  const answerMillis = expectedAnswerMillis(state);
+  const {upstream, stats, goal} = candidate;
+  const snapshot = snapshotOf(candidate);
+  const responseMillis = expectedResponseMillis(snapshot);
   const failureMillis = stats.failedRatio * FAILURE_MILLIS;
-  const noise = 1 + NOISE_RATIO * scored.noise;
-  const expected = (answerMillis + failureMillis) * noise;
-  const distance = distanceMillis(place, upstream);
-  if (upstream.entry.zone !== place.zone) {
+  const noise = 1 + NOISE_RATIO * candidate.noise;
+  const expected = (responseMillis + failureMillis) * noise;
+  const distance = distanceMillis(location, upstream);
+  if (upstream.entry.zone !== location.zone) {
     return expected * (1 + OTHER_ZONE_RATIO) + distance;
   }
   if (goal === undefined) return expected + distance;
   const allowance = sameZoneAllowanceMillis({
     objectiveMillis: goal.objectiveMillis,
-    expectedMillis: answerMillis,
-    busyRatio: busyRatioOf(state),
+    expectedMillis: responseMillis,
+    busyRatio: busyRatioOf(snapshot),
   });
   return expected + distance - allowance;
 }
 
-/** A request's own time, where its like is known, does not depend on the mix. */
-function expectationOf(scored: UpstreamCandidate): UpstreamSnapshot {
-  const {upstream, stats, report, averageMillis, goal, now} = scored;
+/**
+ * If the usual time of its kind is known, a request's own time does not depend
+ * on the mix of requests at the upstream.
+ */
+function snapshotOf(candidate: UpstreamCandidate): UpstreamSnapshot {
+  const {upstream, stats, report, averageMillis, goal, now} = candidate;
   const {ownInFlightCount, slownessRatio = 1} = stats;
   const usualMillis = goal?.usualMillis;
   return {
@@ -98,10 +112,13 @@
   };
 }
 
-function distanceMillis(place: SenderLocation, {entry}: KnownUpstream): number {
-  if (entry.hostKey === place.hostKey) return 0;
-  if (entry.zone === place.zone) return SAME_ZONE_MILLIS;
-  return entry.region === place.region
+function distanceMillis(
+  location: SenderLocation,
+  {entry}: KnownUpstream,
+): number {
+  if (entry.hostKey === location.hostKey) return 0;
+  if (entry.zone === location.zone) return SAME_ZONE_MILLIS;
+  return entry.region === location.region
     ? OTHER_ZONE_MILLIS
     : OTHER_REGION_MILLIS;
 }
--- a/src/process/placement/upstream_stats.ts
+++ b/src/process/placement/upstream_stats.ts
@@ -1,23 +1,23 @@
-/**
- * What a node has learned about one start of an upstream from its own attempts.
- */
+/** Statistics of one start of an upstream, from the attempts of this node. */
 import type {UpstreamStart} from '../membership/upstream_start.js';
 
-/** How an attempt ended, as far as the choice of upstreams is concerned. */
+/** Outcome of an attempt as far as the choice of upstreams is concerned. */
 export type AttemptOutcome =
   | 'served'
-  /** The upstream answered with a failure of its own, or broke off. */
+  /** The upstream responded with a failure or aborted its response. */
   | 'failed'
   /** The node or the upstream could not be reached, or is leaving. */
   | 'unreachable'
-  /** Nothing about the upstream follows. */
+  /** The outcome says nothing about the upstream. */
   | 'neutral';
 
-/** What was learned about one start; a later one begins without it. */
+/**
+ * Statistics of one start of an upstream; a later start begins without them.
+ */
 export interface UpstreamStats {
   readonly start: UpstreamStart;
   ownInFlightCount: number;
-  /** As reported last, kept when the report itself has aged. */
+  /** Last reported value, kept when the report itself is outdated. */
   averageMillis: number | undefined;
   slownessRatio: number | undefined;
   lastSentMillis: number;
@@ -27,33 +27,33 @@
   avoidUntilMillis: number;
 }
 
-/** Weight of one new sample in the share of failures: about the last ten. */
+/** Weight of one sample in the failure ratio: about the last ten count. */
 const FAILED_WEIGHT = 0.1;
 
-/** First and longest time for which an unreachable upstream is left alone. */
+/** First and longest time for which an unreachable upstream is avoided. */
 const MIN_AVOID_MILLIS = 150;
 const MAX_AVOID_MILLIS = 1200;
 
-/** Learns from the end of an attempt. */
+/** Updates the statistics with the outcome of an attempt. */
 export function recordAttemptOutcome(
-  record: UpstreamStats,
-  how: AttemptOutcome,
+  stats: UpstreamStats,
+  outcome: AttemptOutcome,
   now: number,
 ): void {
-  if (how === 'neutral') return;
-  const sample = how === 'failed' ? 1 : 0;
-  record.failedRatio += (sample - record.failedRatio) * FAILED_WEIGHT;
-  if (how !== 'unreachable') {
-    record.failuresInARow = 0;
+  if (outcome === 'neutral') return;
+  const sample = outcome === 'failed' ? 1 : 0;
+  stats.failedRatio += (sample - stats.failedRatio) * FAILED_WEIGHT;
+  if (outcome !== 'unreachable') {
+    stats.failuresInARow = 0;
     return;
   }
-  // What was on its way when the upstream was lost fails at the same moment and
-  // counts once.
-  if (record.avoidUntilMillis > now) return;
+  // Attempts in flight when the upstream became unreachable fail at the same
+  // moment and count once.
+  if (stats.avoidUntilMillis > now) return;
   const avoidMillis = Math.min(
     MAX_AVOID_MILLIS,
-    MIN_AVOID_MILLIS * 2 ** record.failuresInARow,
+    MIN_AVOID_MILLIS * 2 ** stats.failuresInARow,
   );
-  record.failuresInARow += 1;
-  record.avoidUntilMillis = now + avoidMillis;
+  stats.failuresInARow += 1;
+  stats.avoidUntilMillis = now + avoidMillis;
 }
--- a/src/process/placement/weighted_targets.ts
+++ b/src/process/placement/weighted_targets.ts
@@ -1,6 +1,6 @@
 /**
- * Divides the requests of a split route among its services, exactly in
- * proportion to the weights over any short run of requests.
+ * Distributes the requests of a split route over its services, in exact
+ * proportion to the weights over any short sequence of requests.
  */
 import type {ServiceRoute} from '../../version/route_configuration.js';
 
@@ -10,23 +10,23 @@
 }
 
 /**
- * Smooth weighted round robin. Each node starts at a place of its own by
- * chance: nodes that all began with the same part would overfill it after each
- * change of the configuration.
+ * Smooth weighted round robin. Each node starts at a random position: if all
+ * nodes started with the same target, they would overload it after each change
+ * of the configuration.
  */
 export function createWeightedTargets(random: () => number): WeightedTargets {
-  const states = new Map<string, Map<string, number>>();
+  const weightsByRoute = new Map<string, Map<string, number>>();
 
-  const stateOf = (route: ServiceRoute): Map<string, number> => {
+  const currentWeightsOf = (route: ServiceRoute): Map<string, number> => {
     const key = `${route.name} ${route.targets.map(keyOf).join(' ')}`;
-    const known = states.get(key);
+    const known = weightsByRoute.get(key);
     if (known !== undefined) return known;
     const total = totalOf(route);
     const created = new Map<string, number>();
     for (const target of route.targets) {
       created.set(target.service, (random() - 0.5) * total);
     }
-    states.set(key, created);
+    weightsByRoute.set(key, created);
     return created;
   };
 
@@ -34,7 +34,7 @@
     choose: route => {
       const [only] = route.targets;
       if (only !== undefined && route.targets.length === 1) return only.service;
-      return next(route, stateOf(route));
+      return chooseNext(route, currentWeightsOf(route));
     },
   };
 }
@@ -47,17 +47,23 @@
   return route.targets.reduce((sum, target) => sum + target.weightRatio, 0);
 }
 
-function next(route: ServiceRoute, state: Map<string, number>): string {
+function chooseNext(
+  route: ServiceRoute,
+  currentWeights: Map<string, number>,
+): string {
   let chosen = '';
-  let highest = -Infinity;
+  let highestWeight = -Infinity;
   for (const {service, weightRatio} of route.targets) {
-    const credit = (state.get(service) ?? 0) + weightRatio;
-    state.set(service, credit);
-    if (weightRatio > 0 && credit > highest) {
-      highest = credit;
+    const currentWeight = (currentWeights.get(service) ?? 0) + weightRatio;
+    currentWeights.set(service, currentWeight);
+    if (weightRatio > 0 && currentWeight > highestWeight) {
+      highestWeight = currentWeight;
       chosen = service;
     }
   }
-  state.set(chosen, (state.get(chosen) ?? 0) - totalOf(route));
+  currentWeights.set(
+    chosen,
+    (currentWeights.get(chosen) ?? 0) - totalOf(route),
+  );
   return chosen;
 }
--- a/src/process/placement/zone_preference.ts
+++ b/src/process/placement/zone_preference.ts
@@ -1,37 +1,45 @@
 /**
- * How much longer an upstream of the own zone may take than one elsewhere.
+ * How much longer an upstream of the sender's zone may take than one in another
+ * zone.
  *
- * Load pattern: upstreams of a service differ in speed, and each zone has one or
- * a few. A read that has a second and a half is answered well by the slow one
- * next to it; sent to the fastest, nearly all answers cross between zones, which
- * is paid for. What would hardly be in time, and what would find no free slot,
- * goes where it is answered first.
+ * Load pattern: the upstreams of a service differ in speed, and each zone has
+ * one or a few. A read with an objective of a second and a half is served well
+ * by a slow upstream in its zone; sent to the fastest one, nearly all responses
+ * would cross zones, which is billed. A request that would hardly be in time,
+ * or would find no free slot, goes to the upstream with the lowest expected
+ * response time.
  */
 
-/** A request and an upstream of the own zone. */
+/** A request and an upstream of the sender's zone. */
 export interface SameZoneCandidate {
-  /** Time in which an answer has its full value. */
+  /** Time within which a response has its full value. */
   readonly objectiveMillis: number;
-  /** Time in which this upstream is expected to answer it. */
+  /** Time in which this upstream is expected to respond to the request. */
   readonly expectedMillis: number;
   /** Share of its slots in use. */
   readonly busyRatio: number;
 }
 
-/** Share of the objective that an answer may take longer for being near. */
-const NEAR_RATIO = 0.1;
+/**
+ * Share of the objective that a response may take longer to stay in the zone.
+ */
+const SAME_ZONE_ALLOWANCE_RATIO = 0.1;
 
 /**
- * Of what is expected to take half of its objective, a part takes all of it:
- * work and waits of one kind of request differ by a factor of two and more.
+ * Safety factor on the expected time. Of the requests that are expected to take
+ * half of their objective, some take all of it: processing and waiting times of
+ * one kind of request vary by a factor of two and more.
  */
-const SPREAD_RATIO = 2;
+const SAFETY_RATIO = 2;
 
 /** Time that may be spent for staying in the zone. */
 export function sameZoneAllowanceMillis(candidate: SameZoneCandidate): number {
   const {objectiveMillis, expectedMillis, busyRatio} = candidate;
-  const spareMillis = objectiveMillis - SPREAD_RATIO * expectedMillis;
-  const wantedMillis = Math.min(NEAR_RATIO * objectiveMillis, spareMillis);
+  const spareMillis = objectiveMillis - SAFETY_RATIO * expectedMillis;
+  const allowanceMillis = Math.min(
+    SAME_ZONE_ALLOWANCE_RATIO * objectiveMillis,
+    spareMillis,
+  );
   const freeRatio = 1 - Math.min(1, busyRatio);
-  return Math.max(0, wantedMillis) * freeRatio;
+  return Math.max(0, allowanceMillis) * freeRatio;
 }
--- a/test/unit/process/placement/placement.test.ts
+++ b/test/unit/process/placement/placement.test.ts
@@ -46,7 +46,7 @@
   };
 }
 
-test('the own zone goes before an equal one elsewhere', t => {
+test("an upstream of the sender's zone is preferred to an equal one elsewhere", t => {
   const {add, chooseMany} = createFixture();
   add('1', 'zone-a', 20);
   add('2', 'zone-b', 20);
@@ -54,9 +54,10 @@
   t.true((counts.get('1') ?? 0) > 190);
 });
 
-test('the own zone is kept while it serves about as well', t => {
-  // Symptom: on calm days two thirds of the bytes cross zones. Cause: what
-  // chance adds to the times of slow services is more than a zone counted.
+test("the sender's zone is preferred while it serves about as well", t => {
+  // Guards against two thirds of the traffic crossing zones under low load:
+  // random variation in the times of slow services exceeded the cost of leaving
+  // a zone.
   const {add, observe, chooseMany} = createFixture(createSeededRandom(3));
   add('1', 'zone-a', 160);
   add('2', 'zone-b', 160);
@@ -65,9 +66,9 @@
   t.true((chooseMany(200).get('2') ?? 0) > 190);
 });
 
-test('a much slower upstream is left to probes', t => {
-  // Symptom: one slow upstream doubles the latency of its service. Cause:
-  // requests are dealt out evenly, whatever the answers take.
+test('a much slower upstream receives only probes', t => {
+  // Guards against one slow upstream that doubles the latency of its service
+  // because requests are distributed evenly, whatever the response times.
   const {add, chooseMany} = createFixture();
   add('1', 'zone-a', 300);
   add('2', 'zone-b', 30);
@@ -76,7 +77,7 @@
   t.true((counts.get('1') ?? 0) >= 1);
 });
 
-test('a full upstream is passed over for a free one', t => {
+test('a free upstream is preferred to a full one', t => {
   const {add, observe, chooseMany} = createFixture();
   add('1', 'zone-a', 30);
   add('2', 'zone-b', 30);
@@ -106,7 +107,7 @@
   t.deepEqual(later.sort(), ['1', '2']);
 });
 
-test('an unreachable upstream is left alone, then tried again', t => {
+test('an unreachable upstream is avoided, then tried again', t => {
   const {add, chooser, advance} = createFixture();
   add('1', 'zone-a', 20);
   add('2', 'zone-b', 20);
@@ -127,10 +128,10 @@
   t.is(chooser.choose('unknown', NO_IDS), undefined);
 });
 
-test('a later start under an id begins without what the one before did', t => {
-  // Symptom: an upstream that is well again stands idle while others are full.
-  // Sequence: its start before failed, was left alone and held requests; it is
-  // there again under the same id. Cause: what was learned is kept by the id.
+test('a restarted upstream begins without the statistics of its previous start', t => {
+  // Guards against a recovered upstream that stays idle while others are full:
+  // its previous start failed, was avoided and held requests, and these
+  // statistics were kept by id for the next start.
   const {directory, loadTable, chooser, add} = createFixture();
   add('2', 'zone-a', 20);
   const put = (bornMillis: number): void => {
@@ -159,16 +160,16 @@
     madeAtMillis: 10_000,
   });
   t.is(chooser.choose('orders', NO_IDS)?.upstream.entry.id, '1');
-  // What the start before held ends late, and is not its successor's.
+  // Attempts at the previous start end late and do not count for the next one.
   for (const placement of held) placement?.end('failed');
   t.is(chooser.choose('orders', NO_IDS)?.upstream.entry.id, '1');
 });
 
-test('an attempt is not given up for an upstream that was out of reach', t => {
-  // A read failed while a node was restarted, though its upstream was at work on
-  // it: its answer took longer than usual, the attempt was given up for the only
-  // other upstream, and the node beside that one was the one that restarted
-  // ("retry ... reason=timeout", 28 ms later "failed ... reason=unreachable
+test('an attempt is not abandoned for an upstream that was unreachable', t => {
+  // A read failed while a node restarted, although an upstream was working on
+  // it: its response took longer than usual, and the attempt was abandoned for
+  // the only other upstream, whose node was the one that restarted ("retry ...
+  // reason=timeout", 28 ms later "failed ... reason=unreachable
   // statusCode=502").
   const {add, chooser, advance} = createFixture();
   add('1', 'zone-a', 20);
@@ -177,28 +178,29 @@
   t.true(chooser.hasAlternative('orders', first));
   chooser.choose('orders', first)?.end('unreachable');
   t.false(chooser.hasAlternative('orders', first));
-  // Left alone no longer, and still not known to be back.
+  // No longer avoided, and not known to be back yet.
   advance(1300);
   t.false(chooser.hasAlternative('orders', first));
   chooser.choose('orders', first)?.end('served');
   t.true(chooser.hasAlternative('orders', first));
 });
 
-test('an upstream that cannot be reached is no other one to turn to', t => {
-  // Symptom: in a rolling restart a read fails though its upstream was at work
-  // on it. Sequence: it took longer than usual and was given up for the only
-  // other upstream, which had just refused other requests since it was leaving.
+test('an unreachable upstream is not an alternative', t => {
+  // Guards against a read that fails in a rolling restart although an upstream
+  // is working on it: it took longer than usual and was abandoned for the only
+  // other upstream, which had just refused other requests because it was
+  // leaving.
   const {add, chooser, advance} = createFixture();
   add('1', 'zone-a', 20);
   add('2', 'zone-a', 20);
   const tried = new Set(['1']);
-  const isNoneLost = (): boolean => false;
-  t.true(chooser.hasAlternative('orders', tried, isNoneLost));
+  const isNeverLost = (): boolean => false;
+  t.true(chooser.hasAlternative('orders', tried, isNeverLost));
   t.false(chooser.hasAlternative('orders', tried, entry => entry.id === '2'));
   chooser.choose('orders', tried)?.end('unreachable');
-  t.false(chooser.hasAlternative('orders', tried, isNoneLost));
-  t.false(chooser.hasReachableAlternative('orders', tried, isNoneLost));
+  t.false(chooser.hasAlternative('orders', tried, isNeverLost));
+  t.false(chooser.hasReachableAlternative('orders', tried, isNeverLost));
   advance(200);
-  t.false(chooser.hasAlternative('orders', tried, isNoneLost));
-  t.true(chooser.hasReachableAlternative('orders', tried, isNoneLost));
+  t.false(chooser.hasAlternative('orders', tried, isNeverLost));
+  t.true(chooser.hasReachableAlternative('orders', tried, isNeverLost));
 });
--- a/test/unit/process/placement/placement_fleet.test.ts
+++ b/test/unit/process/placement/placement_fleet.test.ts
@@ -1,6 +1,6 @@
 /**
- * Replays of what many nodes together choose in a service with more upstreams
- * than one node sends requests in a second.
+ * Replays the choices of many nodes in a service with more upstreams than one
+ * node sends requests in a second.
  */
 import test from 'ava';
 import {createPlacementNode} from '../../../fakes/placement_node.js';
@@ -10,14 +10,14 @@
 const NO_IDS: ReadonlySet<string> = new Set();
 const ZONES = ['zone-a', 'zone-b', 'zone-c'];
 const UPSTREAMS_COUNT = 32;
-const ANSWER_MILLIS = 200;
+const RESPONSE_MILLIS = 200;
 const CHOICES_PER_SECOND = 12;
 
 function zoneOf(index: number): string {
   return ZONES[index % ZONES.length] ?? '';
 }
 
-/** One node in zone a that knows all upstreams. */
+/** One node in zone a with all upstreams in its directory. */
 function createNode(seed: number) {
   const node = createPlacementNode(createSeededRandom(seed));
   const {loadTable, directory, chooser, nowMillis, advance} = node;
@@ -41,12 +41,14 @@
       inFlightCount: 2,
       queuedCount: 0,
       limitCount: 10,
-      averageMillis: ANSWER_MILLIS,
+      averageMillis: RESPONSE_MILLIS,
       level: 511,
       madeAtMillis: nowMillis(),
     });
   };
-  /** Chooses at the rate of one node for so long; returns who was chosen. */
+  /**
+   * Chooses at the rate of one node for so long; returns the chosen upstreams.
+   */
   const chooseFor = (seconds: number, silentIndex = -1): readonly number[] =>
     Array.from({length: seconds * CHOICES_PER_SECOND}, () => {
       advance(1000 / CHOICES_PER_SECOND);
@@ -71,11 +73,11 @@
   return chosen.filter(isCounted).length / chosen.length;
 }
 
-test('a node with few requests for many upstreams keeps to its zone', t => {
-  // Symptom: two thirds of the bytes cross zones, and a third of the upstreams
-  // get nothing at all. Cause: each upstream that a node had left alone for
-  // 1.5 s got its next request, the first in the list first; at 12 requests a
-  // second and 32 upstreams every request was such a one.
+test('a node with few requests for many upstreams prefers its zone', t => {
+  // Guards against two thirds of the traffic crossing zones while a third of
+  // the upstreams get no requests: each upstream without requests for 1.5 s got
+  // the next one, the first in the list first, and at 12 requests a second and
+  // 32 upstreams this applied to every request.
   const chosen = createNode(1).chooseFor(60);
   t.true(shareOf(chosen, index => zoneOf(index) === 'zone-a') >= 0.85);
 });
@@ -85,9 +87,9 @@
   t.is(new Set(nodes.flat()).size, UPSTREAMS_COUNT);
 });
 
-test('nodes that have been idle do not all turn to the same upstream', t => {
-  // Symptom: eight requests that enter at six nodes of a zone all go to one
-  // upstream of another zone. Cause: the same; all nodes have the same list.
+test('nodes that have been idle do not all choose the same upstream', t => {
+  // Guards against eight requests at six nodes of a zone that all go to one
+  // upstream of another zone, because all nodes probe the same list in order.
   const chosen = Array.from({length: 60}, (_, seed) => {
     const node = createNode(seed + 1);
     node.advance(5000);
@@ -98,19 +100,20 @@
   t.true(Math.max(...counts.values()) <= 12);
 });
 
-test('an upstream that never answers is not taken for the fastest', t => {
-  // Taken to be faster than its service because nobody has reported on it, an
-  // upstream that is too slow to answer would get a fifth of all requests.
+test('an upstream that never responds is not assumed to be the fastest', t => {
+  // Guards against an upstream that is too slow to respond and gets a fifth of
+  // all requests: without a report on it, it was assumed to be faster than its
+  // service.
   const silentIndex = 3;
   const chosen = createNode(7).chooseFor(60, silentIndex);
   t.true(shareOf(chosen, index => index === silentIndex) <= 0.06);
 });
 
-test('a repeat goes where it is served best, not where nothing is known', t => {
-  // Symptom: while a zone is cut off, a read that enters in the other one fails
-  // at its deadline. Events: it was tried at one upstream of the lost zone,
-  // found silent after 1.6 s, tried at the next one there, and so on. Cause:
-  // after 1.5 s each repeat was due to be a probe of what had been left alone.
+test('a retry is sent to the best upstream and never used as a probe', t => {
+  // Guards against a read that fails at its deadline while another zone is
+  // partitioned: an upstream there timed out after 1.6 s, then the next one
+  // there, and so on. After 1.5 s each retry was used as a probe of an upstream
+  // without recent requests.
   const zones = Array.from({length: 30}, (_, seed) => {
     const node = createNode(seed + 1);
     const {index, placement} = node.choose();
--- a/test/unit/process/placement/relative_slowness.test.ts
+++ b/test/unit/process/placement/relative_slowness.test.ts
@@ -8,13 +8,14 @@
 const SHORT_MILLIS = 40;
 const LONG_MILLIS = 640;
 
-test('an upstream that got the long requests is not left idle beside a full one', t => {
-  // Symptom: for ten seconds after a fleet starts again, a service sheds a third
-  // of its requests while one of its two upstreams has 1 of 17 slots in use, and
-  // the other a queue. Sequence: the first answers of one upstream are those of
-  // long requests; its mean time is 330 ms, the other's 40 ms; all short calls go
-  // to the other, so that the mean of the first never falls. Cause: the mean says
-  // what an upstream was given, not how fast it is.
+test('an upstream that received the long requests is not idle while another one is full', t => {
+  // Guards against a service that sheds a third of its requests for ten seconds
+  // after a fleet restart, while one of its two upstreams uses 1 of 17 slots
+  // and the other has a queue. The first responses of one upstream were those
+  // of long requests: its mean time was 330 ms, that of the other 40 ms, so all
+  // short calls went to the other, and the mean of the first never fell. The
+  // mean depends on the requests that an upstream receives, not only on its
+  // speed.
   const slownessOf = (heldMillis: number): number => {
     const slowness = createRelativeSlowness();
     for (let index = 0; index < 20; index += 1) {
@@ -62,7 +63,7 @@
   t.is(chosen?.upstream.entry.id, 'idle');
 });
 
-test('one that takes twice as long as usual is told to', t => {
+test('an upstream that takes twice as long as usual has a ratio of 2', t => {
   const slowness = createRelativeSlowness();
   for (let index = 0; index < 4; index += 1) slowness.observe(80, 40);
   t.is(slowness.ratio(), undefined);
--- a/test/unit/process/placement/weighted_targets.test.ts
+++ b/test/unit/process/placement/weighted_targets.test.ts
@@ -17,9 +17,10 @@
   }
 });
 
-test('nodes that begin together do not all begin with the same part', t => {
-  // Symptom: a part of a tenth gets a burst after each change of the
-  // configuration. All nodes begin their round at the same place.
+test('nodes that start together do not all start with the same target', t => {
+  // Guards against a target with a tenth of the weight that gets a burst after
+  // each change of the configuration, because all nodes start at the same
+  // position.
   const fractions = [0.05, 0.95, 0.5, 0.1];
   let index = 0;
   const firsts = new Set<string>();
@@ -33,7 +34,7 @@
   t.is(firsts.size, 2);
 });
 
-test('a part without weight gets nothing', t => {
+test('a target without weight gets no requests', t => {
   const targets = createWeightedTargets(() => 0.9);
   const route = serviceRoute({
     targets: [
--- a/test/unit/process/placement/zone_preference.test.ts
+++ b/test/unit/process/placement/zone_preference.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import {sameZoneAllowanceMillis} from '../../../../src/process/placement/zone_preference.js';
 
-test('what has time stays near, what is pressed goes where it is in time', t => {
-  // A read of 1.5 s that takes 0.25 s next door, and an order of 0.3 s that
-  // takes 0.18 s there.
+test('a request with time to spare stays in its zone, an urgent one does not', t => {
+  // A read with an objective of 1.5 s that takes 0.25 s in its zone, and an
+  // order with an objective of 0.3 s that takes 0.18 s there.
   t.is(
     sameZoneAllowanceMillis({
       objectiveMillis: 1500,
@@ -22,7 +22,7 @@
   );
 });
 
-test('an upstream whose slots are taken is no nearer than another', t => {
+test('an upstream without free slots gets no allowance for its zone', t => {
   const at = (busyRatio: number): number =>
     sameZoneAllowanceMillis({
       objectiveMillis: 1500,
