--- a/src/process/quarantine/crash_evidence.ts
+++ b/src/process/quarantine/crash_evidence.ts
@@ -1,96 +1,114 @@
 /**
- * Evidence of which requests crash the upstreams that run them: the crashes under
- * which each was in progress, less those it was cleared of.
+ * Evidence of which requests crash the upstreams that run them: the crashes
+ * during which each request was in progress, except those it was cleared of.
  *
- * Load pattern: a caller sends one request again and again, and it crashes every
- * upstream that runs it, with all requests in progress there. Evidence is a set that
- * only grows and is merged by union: nodes that have seen different crashes agree
- * within seconds, whether messages are lost, repeated or reordered.
+ * Load pattern: a caller sends one request again and again, and it crashes
+ * every upstream that runs it, together with all other requests in progress
+ * there. Evidence is a set that only grows and is merged by union: nodes that
+ * have seen different crashes converge within seconds, even if messages are
+ * lost, repeated or reordered.
  */
 import {fnvHash} from '../../base/fnv_hash.js';
 import type {CrashFields, CrashSummary} from '../../protocol/crash_messages.js';
 
-/** One crash that a suspect was in progress under. */
+/** A crash during which a suspected request was in progress. */
 export interface SuspectCrash {
   readonly crashId: string;
   readonly upstreamId: string;
   readonly ageMillis: number;
 }
 
-/** A request that was in progress under crashes. */
+/** A request that was in progress during crashes. */
 export interface CrashSuspect {
   readonly fingerprint: string;
   readonly isQuarantined: boolean;
   readonly crashes: readonly SuspectCrash[];
 }
 
-/** Evidence of one node. */
+/** Crash evidence of one node. */
 export interface CrashEvidence {
-  /** No request is suspected. */
+  /** Whether no request is suspected. */
   readonly isEmpty: boolean;
   /** Equal for equal evidence. */
   readonly digest: string;
-  /** Crashes under which any of these fingerprints was in progress. */
+  /**
+   * Highest number of crashes during which one of these fingerprints was in
+   * progress.
+   */
   crashesCount(fingerprints: readonly string[]): number;
   isQuarantined(fingerprints: readonly string[]): boolean;
-  /** Time since the last of these crashes; infinite if there is none. */
+  /**
+   * Time since the last crash of these fingerprints; infinite if there is none.
+   */
   lastCrashAgeMillis(fingerprints: readonly string[]): number;
   /** Adds crashes seen here or reported by another node; returns the new ones. */
   add(crashes: readonly CrashFields[]): readonly CrashFields[];
-  /** A request was answered: it does not crash the upstreams that run it. */
+  /**
+   * Records that a request was answered and thus does not crash the upstreams
+   * that run it. Returns whether it was suspected.
+   */
   clear(fingerprints: readonly string[]): boolean;
-  /** One crash, for another node; `undefined` if it is not known. */
+  /**
+   * Returns a crash to send to another node; `undefined` if it is not known.
+   */
   find(crashId: string): CrashFields | undefined;
   /** Summaries of all crashes. */
   summaries(): readonly CrashSummary[];
-  /** Requests that are suspected, those with most crashes first. */
+  /** Suspected requests, those with most crashes first. */
   suspects(): readonly CrashSuspect[];
   readonly quarantinedCount: number;
-  /** Removes what is older than the retention time. */
+  /** Removes crashes that are older than the retention time. */
   expire(): void;
 }
 
-/** What evidence needs. */
+/** Dependencies of crash evidence. */
 export interface CrashEvidenceOptions {
   readonly nowMillis: () => number;
-  /** A request has been in progress under enough crashes to be refused. */
+  /**
+   * Called when a request was in progress during enough crashes to be refused.
+   */
   readonly onQuarantined: (suspect: CrashSuspect) => void;
-  /** A request that was refused was cleared, or its evidence has expired. */
+  /** Called when a refused request was cleared, or its evidence has expired. */
   readonly onReleased: (fingerprint: string) => void;
 }
 
-/** Crashes after which a request is not run any more. */
+/** Crashes after which a request is no longer run. */
 export const QUARANTINE_CRASHES_COUNT = 3;
 
 /** Time for which a crash counts. */
 export const RETENTION_MILLIS = 3_600_000;
 
-/** Bound on pairs of a crash and a fingerprint, of some hundred bytes each. */
+/**
+ * Maximum number of pairs of a crash and a fingerprint, of some hundred bytes
+ * each.
+ */
 export const MAX_CRASH_FINGERPRINT_PAIRS_COUNT = 8192;
 
 interface KnownCrash {
   readonly crashId: string;
   readonly upstreamId: string;
   readonly atMillis: number;
-  /** Fingerprints of the requests in progress; true if cleared of this crash. */
+  /**
+   * Fingerprints of the requests in progress; true if cleared of this crash.
+   */
   readonly isClearedOf: Map<string, boolean>;
 }
 
-/** Creates evidence of nothing. */
+/** Creates empty evidence. */
 export function createCrashEvidence(
   options: CrashEvidenceOptions,
 ): CrashEvidence {
   const {nowMillis} = options;
   const crashes = new Map<string, KnownCrash>();
-  /** Crashes that each fingerprint was in progress under. */
-  const sightings = new Map<string, Set<KnownCrash>>();
-  /** Those that it was not cleared of. */
+  /** Crashes during which each fingerprint was in progress. */
+  const crashesByFingerprint = new Map<string, Set<KnownCrash>>();
+  /** Those of them that the fingerprint was not cleared of. */
   const suspects = new Map<string, Set<KnownCrash>>();
   const quarantined = new Set<string>();
-  let sightingsCount = 0;
+  let pairsCount = 0;
   let cachedDigest: string | undefined;
 
-  const settle = (fingerprint: string): void => {
+  const updateQuarantine = (fingerprint: string): void => {
     const count = suspects.get(fingerprint)?.size ?? 0;
     const isQuarantined = count >= QUARANTINE_CRASHES_COUNT;
     if (isQuarantined === quarantined.has(fingerprint)) return;
@@ -103,8 +121,8 @@
     }
   };
 
-  /** Adds a sighting, or its clearance, which is never undone. */
-  const addSighting = (
+  /** Adds a fingerprint to a crash, or clears it, which is never undone. */
+  const addFingerprint = (
     crash: KnownCrash,
     fingerprint: string,
     isCleared: boolean,
@@ -112,36 +130,36 @@
     const wasCleared = crash.isClearedOf.get(fingerprint);
     if (wasCleared === true || wasCleared === isCleared) return;
     if (wasCleared === undefined) {
-      sightingsCount += 1;
-      addTo(sightings, fingerprint, crash);
+      pairsCount += 1;
+      addTo(crashesByFingerprint, fingerprint, crash);
     }
     crash.isClearedOf.set(fingerprint, isCleared);
     cachedDigest = undefined;
     if (isCleared) removeFrom(suspects, fingerprint, crash);
     else addTo(suspects, fingerprint, crash);
-    settle(fingerprint);
+    updateQuarantine(fingerprint);
   };
 
   const remove = (crash: KnownCrash): void => {
     crashes.delete(crash.crashId);
     cachedDigest = undefined;
-    sightingsCount -= crash.isClearedOf.size;
+    pairsCount -= crash.isClearedOf.size;
     for (const fingerprint of crash.isClearedOf.keys()) {
-      removeFrom(sightings, fingerprint, crash);
+      removeFrom(crashesByFingerprint, fingerprint, crash);
       removeFrom(suspects, fingerprint, crash);
-      settle(fingerprint);
+      updateQuarantine(fingerprint);
     }
   };
 
   /**
-   * Clearances that are sent to other nodes. Most requests are in progress under one
-   * crash only and cleared moments later: their clearances would make up most of the
-   * messages and change no decision.
+   * Clearances that are sent to other nodes. Most requests are in progress
+   * during one crash only and are cleared moments later: their clearances would
+   * make up most of the messages and change no decision.
    */
   const sharedClearances = ({isClearedOf}: KnownCrash): ReadonlySet<string> => {
     const shared = new Set<string>();
     for (const [fingerprint, isCleared] of isClearedOf) {
-      const count = sightings.get(fingerprint)?.size ?? 0;
+      const count = crashesByFingerprint.get(fingerprint)?.size ?? 0;
       if (isCleared && count > 1) shared.add(fingerprint);
     }
     return shared;
@@ -158,7 +176,7 @@
   const digestOfAll = (): string => {
     let digest = 0;
     for (const crash of crashes.values()) digest ^= digestOf(crash);
-    return `${String(sightingsCount)}.${textOf(digest)}`;
+    return `${String(pairsCount)}.${encodeDigest(digest)}`;
   };
 
   const fieldsOf = (crash: KnownCrash): CrashFields => {
@@ -184,27 +202,27 @@
     crashes.set(crash.crashId, crash);
     cachedDigest = undefined;
     for (const fingerprint of fields.clearedFingerprints) {
-      addSighting(crash, fingerprint, true);
+      addFingerprint(crash, fingerprint, true);
     }
     for (const fingerprint of fields.fingerprints) {
-      addSighting(crash, fingerprint, false);
+      addFingerprint(crash, fingerprint, false);
     }
   };
 
   /**
-   * The oldest crash under which no quarantined request was in progress; a flood of
-   * crashing requests must not release an earlier one.
+   * The oldest crash during which no quarantined request was in progress; a
+   * flood of crashing requests must not release an earlier one.
    */
-  const leastUseful = (): KnownCrash | undefined => {
+  const findEvictable = (): KnownCrash | undefined => {
     const byAge = [...crashes.values()].sort((a, b) => a.atMillis - b.atMillis);
-    const isUseful = ({isClearedOf}: KnownCrash): boolean =>
+    const hasQuarantined = ({isClearedOf}: KnownCrash): boolean =>
       [...isClearedOf.keys()].some(fingerprint => quarantined.has(fingerprint));
-    return byAge.find(crash => !isUseful(crash)) ?? byAge[0];
+    return byAge.find(crash => !hasQuarantined(crash)) ?? byAge[0];
   };
 
   const evict = (): void => {
-    while (sightingsCount > MAX_CRASH_FINGERPRINT_PAIRS_COUNT) {
-      const crash = leastUseful();
+    while (pairsCount > MAX_CRASH_FINGERPRINT_PAIRS_COUNT) {
+      const crash = findEvictable();
       if (crash === undefined) return;
       remove(crash);
     }
@@ -258,7 +276,7 @@
       let hasChanged = false;
       for (const fingerprint of fingerprints) {
         for (const crash of [...(suspects.get(fingerprint) ?? [])]) {
-          addSighting(crash, fingerprint, true);
+          addFingerprint(crash, fingerprint, true);
           hasChanged = true;
         }
       }
@@ -271,7 +289,7 @@
     summaries: () =>
       [...crashes.values()].map(crash => ({
         crashId: crash.crashId,
-        digest: textOf(digestOf(crash)),
+        digest: encodeDigest(digestOf(crash)),
       })),
     suspects: () =>
       [...suspects.keys()]
@@ -309,6 +327,6 @@
   if (known?.size === 0) crashesOf.delete(fingerprint);
 }
 
-function textOf(digest: number): string {
+function encodeDigest(digest: number): string {
   return (digest >>> 0).toString(36);
 }
--- a/src/process/quarantine/crash_gossip.ts
+++ b/src/process/quarantine/crash_gossip.ts
@@ -1,9 +1,10 @@
 /**
- * Spreads evidence of crashes among the nodes of a fleet.
+ * Spreads crash evidence among the nodes of a fleet.
  *
- * New crashes are announced to a few random nodes, which fetch and announce them in
- * turn. Nodes that missed them, were partitioned or have just started get them from
- * comparisons of random pairs.
+ * New crashes are announced to a few random nodes, which fetch them and
+ * announce them in turn. Nodes that missed an announcement, were partitioned or
+ * have just started receive crashes when random pairs of nodes compare their
+ * evidence.
  */
 import type {
   CrashFields,
@@ -17,57 +18,57 @@
 import type {Endpoint} from '../settings/node_settings.js';
 import type {CrashEvidence} from './crash_evidence.js';
 
-/** Gossip of one node. */
+/** Crash gossip of one node. */
 export interface CrashGossip {
-  /** Adds a crash of the own upstream and passes it on. */
+  /** Adds a crash of the local upstream and announces it. */
   report(crash: CrashFields): void;
-  /** Takes a report; returns one if its sender lacks any crash. */
+  /** Handles a report; returns the reply, if there is anything to send. */
   receive(report: Buffer): Buffer | undefined;
-  /** Takes the answer to a comparison. */
+  /** Handles the reply to a report that was sent to a peer. */
   receiveAnswer(peer: Endpoint, report: Buffer): void;
   /** Compares evidence with one node, for example one that is reachable again. */
   compareWith(peer: Endpoint): void;
-  /** Compares evidence with a random node; called at intervals. */
+  /** Compares evidence with random nodes; called at intervals. */
   tick(): void;
 }
 
-/** What gossip needs. */
+/** Dependencies of crash gossip. */
 export interface CrashGossipOptions {
   readonly evidence: CrashEvidence;
   /** All other nodes. */
   readonly peers: () => readonly Endpoint[];
   readonly send: (peer: Endpoint, report: Buffer) => void;
-  /** A report could not be read. */
+  /** Called when a report cannot be decoded. */
   readonly onMalformed: () => void;
   readonly nowMillis: () => number;
   /** Uniform in [0, 1). */
   readonly random: () => number;
 }
 
-/** Interval of comparisons. */
+/** Interval between comparisons. */
 export const COMPARE_INTERVAL_MILLIS = 500;
 
 /**
- * Time after its start, and after it has learned of a crash, in which a node compares
- * with more nodes, whether it knows of a crash or not.
+ * Time after its start, and after it has learned of a crash, in which a node
+ * compares with more nodes, whether it has evidence or not.
  */
 const ACTIVE_MILLIS = 10_000;
 
-/** Nodes that are compared with at a time. */
+/** Nodes that are compared with at a time, during that time and later. */
 const ACTIVE_PEERS_COUNT = 3;
-const CALM_PEERS_COUNT = 1;
+const IDLE_PEERS_COUNT = 1;
 
-/** Nodes that a new crash is passed on to by each node that learns it. */
+/** Nodes to which each node that learns of a new crash announces it. */
 const FANOUT_COUNT = 8;
 
-/** Time in which a node can send a crash that was requested. */
-const ASKED_MILLIS = 200;
+/** Time in which a node can send a crash that was requested from it. */
+const REQUEST_TIMEOUT_MILLIS = 200;
 
 /** Creates the gossip of a node that starts now. */
 export function createCrashGossip(options: CrashGossipOptions): CrashGossip {
   const {evidence, nowMillis} = options;
   let activeUntilMillis = nowMillis() + ACTIVE_MILLIS;
-  const askedUntilMillis = new Map<string, number>();
+  const requestedUntilMillis = new Map<string, number>();
 
   const encode = (parts: Partial<CrashReport>): Buffer =>
     encodeCrashReport({
@@ -94,45 +95,50 @@
       .summaries()
       .filter(({crashId}) => ids.has(crashId));
     const report = encode({summaries});
-    for (const peer of choose(FANOUT_COUNT)) options.send(peer, report);
+    for (const peer of choosePeers(FANOUT_COUNT)) options.send(peer, report);
   };
 
-  /** Requests each crash from one of the nodes that announce it at the same moment. */
-  const askFor = (summaries: readonly CrashSummary[]): readonly string[] => {
+  /**
+   * Ids of announced crashes to request; each crash is requested from only one
+   * of the nodes that announce it at the same moment.
+   */
+  const selectMissing = (
+    summaries: readonly CrashSummary[],
+  ): readonly string[] => {
     const now = nowMillis();
-    for (const [crashId, untilMillis] of askedUntilMillis) {
-      if (now >= untilMillis) askedUntilMillis.delete(crashId);
+    for (const [crashId, untilMillis] of requestedUntilMillis) {
+      if (now >= untilMillis) requestedUntilMillis.delete(crashId);
     }
     const wantedIds = summaries
       .map(({crashId}) => crashId)
       .filter(crashId => evidence.find(crashId) === undefined)
-      .filter(crashId => !askedUntilMillis.has(crashId));
+      .filter(crashId => !requestedUntilMillis.has(crashId));
     for (const crashId of wantedIds) {
-      askedUntilMillis.set(crashId, now + ASKED_MILLIS);
+      requestedUntilMillis.set(crashId, now + REQUEST_TIMEOUT_MILLIS);
     }
     return wantedIds;
   };
 
-  const find = (crashIds: readonly string[]): readonly CrashFields[] =>
+  const findAll = (crashIds: readonly string[]): readonly CrashFields[] =>
     crashIds
       .map(evidence.find)
       .filter((crash): crash is CrashFields => crash !== undefined);
 
-  const choose = (count: number): readonly Endpoint[] => {
-    const left = [...options.peers()];
+  const choosePeers = (count: number): readonly Endpoint[] => {
+    const candidates = [...options.peers()];
     const chosen: Endpoint[] = [];
-    while (chosen.length < count && left.length > 0) {
-      const index = Math.floor(options.random() * left.length);
-      chosen.push(...left.splice(index, 1));
+    while (chosen.length < count && candidates.length > 0) {
+      const index = Math.floor(options.random() * candidates.length);
+      chosen.push(...candidates.splice(index, 1));
     }
     return chosen;
   };
 
-  /** Sends what differs, and asks for the other side of it. */
-  const settle = (peer: Endpoint, theirs: readonly CrashSummary[]): void => {
+  /** Sends the crashes that differ, and requests those of the peer. */
+  const reconcile = (peer: Endpoint, theirs: readonly CrashSummary[]): void => {
     const own = evidence.summaries();
-    const crashes = find(differing(own, theirs));
-    const wantedIds = differing(theirs, own);
+    const crashes = findAll(differingIds(own, theirs));
+    const wantedIds = differingIds(theirs, own);
     if (crashes.length + wantedIds.length === 0) return;
     options.send(peer, encode({crashes, wantedIds}));
   };
@@ -150,9 +156,9 @@
       if (report === undefined) return undefined;
       const {crashes, summaries, wantedIds} = report;
       add(crashes);
-      if (wantedIds.length > 0) return encode({crashes: find(wantedIds)});
+      if (wantedIds.length > 0) return encode({crashes: findAll(wantedIds)});
       if (summaries.length > 0) {
-        const missingIds = askFor(summaries);
+        const missingIds = selectMissing(summaries);
         if (missingIds.length === 0) return undefined;
         return encode({wantedIds: missingIds});
       }
@@ -166,9 +172,9 @@
       const {crashes, summaries, wantedIds} = report;
       add(crashes);
       if (wantedIds.length > 0) {
-        options.send(peer, encode({crashes: find(wantedIds)}));
+        options.send(peer, encode({crashes: findAll(wantedIds)}));
       }
-      if (crashes.length + wantedIds.length === 0) settle(peer, summaries);
+      if (crashes.length + wantedIds.length === 0) reconcile(peer, summaries);
     },
     compareWith: peer => {
       if (!evidence.isEmpty) compareWith(peer);
@@ -176,14 +182,14 @@
     tick: () => {
       const isActive = nowMillis() < activeUntilMillis;
       if (evidence.isEmpty && !isActive) return;
-      const count = isActive ? ACTIVE_PEERS_COUNT : CALM_PEERS_COUNT;
-      for (const peer of choose(count)) compareWith(peer);
+      const count = isActive ? ACTIVE_PEERS_COUNT : IDLE_PEERS_COUNT;
+      for (const peer of choosePeers(count)) compareWith(peer);
     },
   };
 }
 
-/** Ids of crashes that the other side does not know, or knows otherwise. */
-function differing(
+/** Ids of crashes that the other side lacks or whose digests differ there. */
+function differingIds(
   summaries: readonly CrashSummary[],
   others: readonly CrashSummary[],
 ): readonly string[] {
--- a/src/process/quarantine/executions_in_progress.ts
+++ b/src/process/quarantine/executions_in_progress.ts
@@ -1,23 +1,23 @@
 /**
- * Requests that the upstream of this host works on, and those cancelled a moment
- * ago: an upstream may notice late that its caller has left.
+ * Requests that the upstream of this host is processing, and those cancelled
+ * recently: an upstream may notice late that its caller has disconnected.
  */
 
-/** Executions of one upstream. */
+/** Executions in progress at one upstream. */
 export interface ExecutionsInProgress<T> {
   begin(execution: T): void;
   end(execution: T): void;
-  /** Its caller has left. */
+  /** Marks an execution as cancelled because its caller has disconnected. */
   cancel(execution: T): void;
-  /** Those in progress, and those cancelled recently. */
+  /** Executions in progress, and those cancelled recently. */
   current(): readonly T[];
   has(execution: T): boolean;
 }
 
-/** Time for which a cancelled request may still be worked on. */
+/** Time for which a cancelled request may still be processed. */
 const CANCELLED_MILLIS = 500;
 
-/** Creates an empty record. */
+/** Creates an empty set of executions. */
 export function createExecutionsInProgress<T>(
   nowMillis: () => number,
 ): ExecutionsInProgress<T> {
--- a/src/process/quarantine/semaphore.ts
+++ b/src/process/quarantine/semaphore.ts
@@ -1,58 +1,62 @@
 /**
- * Lets a bounded number of executions run at once; others wait in order.
+ * Semaphore that limits how many executions run at once; others wait in order.
  */
 import type {CancelSignal} from '../../base/cancel_signal.js';
 
-/** Turns of one kind of execution. */
+/** Semaphore for one kind of execution. */
 export interface Semaphore {
   /**
-   * Takes a turn: true at once if one is free, else when one is released; false if
-   * none is by then, or if the wait is cancelled.
+   * Acquires a permit: returns true at once if one is free. Otherwise resolves
+   * with true when one is released, or with false if none is in time or the
+   * wait is cancelled.
    */
   acquire(wait: SemaphoreWait): true | Promise<boolean>;
-  /** Releases a turn that was taken. */
+  /** Releases a permit that was acquired. */
   release(): void;
 }
 
-/** How long a turn is waited for. */
+/** Limits of the wait for a permit. */
 export interface SemaphoreWait {
   readonly waitMillis: number;
   readonly cancel: CancelSignal;
 }
 
-/** Creates a queue of so many turns. */
-export function createSemaphore(turnsCount: number): Semaphore {
+/** Creates a semaphore with so many permits. */
+export function createSemaphore(permitsCount: number): Semaphore {
   const waiting = new Set<() => void>();
-  let takenCount = 0;
+  let acquiredCount = 0;
 
-  const waitForTurn = ({waitMillis, cancel}: SemaphoreWait): Promise<boolean> =>
+  const waitForPermit = ({
+    waitMillis,
+    cancel,
+  }: SemaphoreWait): Promise<boolean> =>
     new Promise(resolve => {
-      const finish = (hasTurn: boolean): void => {
+      const finish = (hasPermit: boolean): void => {
         waiting.delete(grant);
         clearTimeout(timer);
         cancelled.dispose();
-        resolve(hasTurn);
+        resolve(hasPermit);
       };
       const grant = (): void => {
         finish(true);
       };
-      const giveUp = (): void => {
+      const abandon = (): void => {
         finish(false);
       };
-      const timer = setTimeout(giveUp, Math.max(0, waitMillis));
+      const timer = setTimeout(abandon, Math.max(0, waitMillis));
       waiting.add(grant);
-      const cancelled = cancel.onCancel(giveUp);
+      const cancelled = cancel.onCancel(abandon);
     });
 
   return {
     acquire: wait => {
-      if (takenCount >= turnsCount) return waitForTurn(wait);
-      takenCount += 1;
+      if (acquiredCount >= permitsCount) return waitForPermit(wait);
+      acquiredCount += 1;
       return true;
     },
     release: () => {
       const [next] = waiting;
-      if (next === undefined) takenCount -= 1;
+      if (next === undefined) acquiredCount -= 1;
       else next();
     },
   };
--- a/test/unit/process/quarantine/crash_evidence.test.ts
+++ b/test/unit/process/quarantine/crash_evidence.test.ts
@@ -43,7 +43,7 @@
   return evidence.summaries().map(({crashId}) => evidence.find(crashId)!);
 }
 
-test('the request that is in progress under three crashes is quarantined, others are not', t => {
+test('only the request that is in progress during three crashes is quarantined', t => {
   const {evidence, quarantined} = createFixture();
   t.is(evidence.add([crash(1, 'culprit', 'a', 'b')]).length, 1);
   t.is(evidence.add([crash(2, 'culprit', 'a', 'c')]).length, 1);
@@ -69,20 +69,20 @@
   t.deepEqual(evidence.add([crash(1, 'a')]), []);
 });
 
-test('a request that is answered is cleared of all crashes before, not of later ones', t => {
+test('an answered request is cleared of all earlier crashes, not of later ones', t => {
   const {evidence, released} = createFixture();
   evidence.add([crash(1, 'a'), crash(2, 'a'), crash(3, 'a')]);
   t.true(evidence.clear(['a']));
   t.deepEqual(released, ['a']);
   t.true(evidence.isEmpty);
-  // A node that has not heard of it reports the crashes once more.
+  // A node that has not received the clearance reports the crashes again.
   t.deepEqual(evidence.add([crash(1, 'a'), crash(2, 'a')]), []);
   t.is(evidence.crashesCount(['a']), 0);
   evidence.add([crash(4, 'a')]);
   t.is(evidence.crashesCount(['a']), 1);
 });
 
-test('evidence is the same whatever the order and repetition of reports', t => {
+test('evidence does not depend on the order and repetition of reports', t => {
   const first = createFixture().evidence;
   const second = createFixture().evidence;
   const third = createFixture().evidence;
@@ -101,21 +101,21 @@
 
 test('crashes expire by their age at the node that saw them', t => {
   const {evidence, released, advance} = createFixture();
-  const late = {...crash(1, 'a'), ageMillis: RETENTION_MILLIS - 10};
-  evidence.add([late, crash(2, 'a'), crash(3, 'a')]);
+  const old = {...crash(1, 'a'), ageMillis: RETENTION_MILLIS - 10};
+  evidence.add([old, crash(2, 'a'), crash(3, 'a')]);
   t.true(evidence.isQuarantined(['a']));
   advance(10);
   evidence.expire();
   t.is(evidence.crashesCount(['a']), 2);
   t.deepEqual(released, ['a']);
-  t.deepEqual(evidence.add([{...late, ageMillis: RETENTION_MILLIS}]), []);
+  t.deepEqual(evidence.add([{...old, ageMillis: RETENTION_MILLIS}]), []);
   advance(RETENTION_MILLIS);
   evidence.expire();
   t.true(evidence.isEmpty);
   t.is(evidence.digest, createFixture().evidence.digest);
 });
 
-test('a flood of crashing requests is bounded and releases no quarantined one', t => {
+test('evidence of a flood of crashing requests is bounded and releases no quarantined request', t => {
   const {evidence, released, advance} = createFixture();
   evidence.add([crash(1, 'culprit'), crash(2, 'culprit'), crash(3, 'culprit')]);
   const perCrashCount = 100;
--- a/test/unit/process/quarantine/crash_gossip.test.ts
+++ b/test/unit/process/quarantine/crash_gossip.test.ts
@@ -14,8 +14,8 @@
 
 const HOP_MILLIS = 2;
 
-/** Time in which a node that is in touch must know of a third crash. */
-const KNOWN_WITHIN_MILLIS = 2500;
+/** Time in which a reachable node must receive a third crash. */
+const RECEIVED_WITHIN_MILLIS = 2500;
 
 const CULPRIT = ['culprit'];
 
@@ -28,10 +28,12 @@
 interface GossipFleet {
   readonly clock: EventClock;
   readonly nodes: readonly GossipNode[];
-  /** Messages so far, and their bytes. */
+  /** Messages sent so far, and their bytes. */
   messagesCount(): number;
   sentBytes(): number;
-  setReach(canReach: (from: GossipNode, to: GossipNode) => boolean): void;
+  setReachability(
+    canReach: (from: GossipNode, to: GossipNode) => boolean,
+  ): void;
   restart(node: GossipNode): void;
   crash(node: GossipNode, id: string): void;
 }
@@ -108,7 +110,7 @@
     nodes,
     messagesCount: () => messagesCount,
     sentBytes: () => sentBytes,
-    setReach: next => {
+    setReachability: next => {
       canReach = next;
     },
     restart: node => {
@@ -126,12 +128,12 @@
   };
 }
 
-function knowingCount({nodes}: GossipFleet): number {
+function quarantiningNodesCount({nodes}: GossipFleet): number {
   return nodes.filter(({evidence}) => evidence.isQuarantined(CULPRIT)).length;
 }
 
-/** Three crashes, seen by three nodes. */
-function crashThree(fleet: GossipFleet): void {
+/** Three crashes, each detected by another node. */
+function reportThreeCrashes(fleet: GossipFleet): void {
   for (const [index, node] of fleet.nodes.slice(0, 3).entries()) {
     fleet.crash(node, `c${String(index)}`);
   }
@@ -143,38 +145,40 @@
   test(`${String(nodesCount)} nodes learn of a third crash in time, with lost messages`, t => {
     const fleet = createFleet(nodesCount, 1, 0.1);
     fleet.clock.runUntil(20_000);
-    crashThree(fleet);
-    fleet.clock.runUntil(20_000 + KNOWN_WITHIN_MILLIS);
-    t.is(knowingCount(fleet), nodesCount);
+    reportThreeCrashes(fleet);
+    fleet.clock.runUntil(20_000 + RECEIVED_WITHIN_MILLIS);
+    t.is(quarantiningNodesCount(fleet), nodesCount);
   });
 
-  test(`${String(nodesCount)} nodes: a zone that was cut off learns of a third crash in time`, t => {
-    // Guards against a request that goes on crashing upstreams through the nodes
-    // of a zone that heard of no crash while it was cut off.
+  test(`${String(nodesCount)} nodes: a zone that was partitioned learns of a third crash in time`, t => {
+    // Guards against a request that keeps crashing upstreams through the nodes
+    // of a zone that received no evidence while it was partitioned.
     const fleet = createFleet(nodesCount, 2);
-    const cutOff = new Set(fleet.nodes.slice(-Math.floor(nodesCount / 3)));
-    fleet.setReach((from, to) => cutOff.has(from) === cutOff.has(to));
+    const partitioned = new Set(fleet.nodes.slice(-Math.floor(nodesCount / 3)));
+    fleet.setReachability(
+      (from, to) => partitioned.has(from) === partitioned.has(to),
+    );
     fleet.clock.runUntil(20_000);
-    crashThree(fleet);
+    reportThreeCrashes(fleet);
     fleet.clock.runUntil(26_000);
-    t.is(knowingCount(fleet), nodesCount - cutOff.size);
-    fleet.setReach(() => true);
-    fleet.clock.runUntil(26_000 + KNOWN_WITHIN_MILLIS);
-    t.is(knowingCount(fleet), nodesCount);
+    t.is(quarantiningNodesCount(fleet), nodesCount - partitioned.size);
+    fleet.setReachability(() => true);
+    fleet.clock.runUntil(26_000 + RECEIVED_WITHIN_MILLIS);
+    t.is(quarantiningNodesCount(fleet), nodesCount);
   });
 
-  test(`${String(nodesCount)} nodes: those that start again learn of a third crash in time`, t => {
+  test(`${String(nodesCount)} nodes: those that restart learn of a third crash in time`, t => {
     // Guards against evidence that is lost with the nodes that held it: four of
     // five nodes are killed at once.
     const fleet = createFleet(nodesCount, 3);
     fleet.clock.runUntil(20_000);
-    crashThree(fleet);
+    reportThreeCrashes(fleet);
     fleet.clock.runUntil(25_000);
     for (const [index, node] of fleet.nodes.entries()) {
       if (index % 5 !== 0) fleet.restart(node);
     }
-    fleet.clock.runUntil(25_000 + KNOWN_WITHIN_MILLIS);
-    t.is(knowingCount(fleet), nodesCount);
+    fleet.clock.runUntil(25_000 + RECEIVED_WITHIN_MILLIS);
+    t.is(quarantiningNodesCount(fleet), nodesCount);
   });
 }
 
@@ -184,30 +188,31 @@
   return fleet.messagesCount() - before;
 }
 
-test('nodes that know of no crash send nothing once they have started', (t: ExecutionContext) => {
+test('nodes without evidence send nothing once they have started', (t: ExecutionContext) => {
   const fleet = createFleet(13, 4);
   fleet.clock.runUntil(11_000);
   t.is(messagesIn(fleet, 10_000), 0);
 });
 
-test('a clearance reaches all nodes, and they fall silent', t => {
+test('a clearance reaches all nodes, and they stop sending', t => {
   const fleet = createFleet(13, 5);
   fleet.clock.runUntil(20_000);
-  crashThree(fleet);
+  reportThreeCrashes(fleet);
   fleet.clock.runUntil(22_000);
   fleet.nodes[5]!.evidence.clear(CULPRIT);
   fleet.clock.runUntil(26_000);
-  t.is(knowingCount(fleet), 0);
+  t.is(quarantiningNodesCount(fleet), 0);
   fleet.clock.runUntil(31_000);
   t.is(messagesIn(fleet, 10_000), 0);
 });
 
-/** Control traffic that a node may cause, over its life. */
+/** Control traffic that a node may send on average. */
 const MAX_BYTES_PER_SECOND = 9000;
 
-test('suspects that are cleared one by one leave the control traffic of nodes within its bound', t => {
-  // Guards against nodes that send each other all evidence again for each request
-  // that is cleared, while upstreams of a service crash by themselves in turn.
+test('control traffic stays within its bound while suspects are cleared one by one', t => {
+  // Guards against nodes that send each other all evidence again for each
+  // request that is cleared, while upstreams of a service crash independently
+  // one after another.
   const nodesCount = 13;
   const fleet = createFleet(nodesCount, 6);
   const {clock, nodes} = fleet;
--- a/test/unit/process/quarantine/semaphore.test.ts
+++ b/test/unit/process/quarantine/semaphore.test.ts
@@ -9,35 +9,35 @@
   return {wait: {waitMillis, cancel: source.signal}, cancel: source.cancel};
 }
 
-test('turns are given in order, and released to the next', async t => {
-  const turns = createSemaphore(1);
+test('permits are granted in order, and passed on when released', async t => {
+  const semaphore = createSemaphore(1);
   const {wait} = waitOf(LONG_MILLIS);
-  t.true(turns.acquire(wait) === true);
+  t.true(semaphore.acquire(wait) === true);
   const order: string[] = [];
-  const second = Promise.resolve(turns.acquire(wait)).then(() => {
+  const second = Promise.resolve(semaphore.acquire(wait)).then(() => {
     order.push('second');
   });
-  const third = Promise.resolve(turns.acquire(wait)).then(() => {
+  const third = Promise.resolve(semaphore.acquire(wait)).then(() => {
     order.push('third');
   });
-  turns.release();
+  semaphore.release();
   await second;
   t.deepEqual(order, ['second']);
-  turns.release();
+  semaphore.release();
   await third;
-  turns.release();
-  t.true(turns.acquire(wait) === true);
+  semaphore.release();
+  t.true(semaphore.acquire(wait) === true);
 });
 
-test('a wait that is cancelled or too long takes no turn', async t => {
-  const turns = createSemaphore(1);
+test('a wait that is cancelled or times out acquires no permit', async t => {
+  const semaphore = createSemaphore(1);
   const {wait} = waitOf(LONG_MILLIS);
-  void turns.acquire(wait);
-  const left = waitOf(LONG_MILLIS);
-  const leaving = turns.acquire(left.wait);
-  left.cancel();
-  t.false(await leaving);
-  t.false(await turns.acquire(waitOf(0).wait));
-  turns.release();
-  t.true(turns.acquire(wait) === true);
+  void semaphore.acquire(wait);
+  const cancelled = waitOf(LONG_MILLIS);
+  const cancelledWait = semaphore.acquire(cancelled.wait);
+  cancelled.cancel();
+  t.false(await cancelledWait);
+  t.false(await semaphore.acquire(waitOf(0).wait));
+  semaphore.release();
+  t.true(semaphore.acquire(wait) === true);
 });
