--- a/src/process/quota/coordinator_chooser.ts
+++ b/src/process/quota/coordinator_chooser.ts
@@ -1,32 +1,34 @@
 /**
- * Chooses the node that coordinates the quota of an organisation: the first one that
- * can be reached in an order that all nodes find alike (rendezvous hashing).
+ * Chooses the node that coordinates the quota of an organisation: the first
+ * reachable one in an order that is the same at all nodes (rendezvous hashing).
  *
  * Each node chooses for itself and none is elected, so that each part of a
- * partitioned fleet has a coordinator of its own.
+ * partitioned fleet has its own coordinator.
  */
 import {fnvHash} from '../../base/fnv_hash.js';
 import type {ZonedHost, ZoneReachability} from './zone_reachability.js';
 
-/** Choices of one node. */
+/** Chooses coordinators for one node. */
 export interface CoordinatorChooser<T extends ZonedHost> {
-  /** The first that can be reached; it may be the own node. */
+  /** The first node that is available, which may be this one. */
   choose(organisation: string): T | undefined;
-  /** Whether a node cannot be reached, or could not a moment ago. */
+  /** Whether a node cannot be reached, or could not be reached recently. */
   isUnavailable(host: T): boolean;
-  /** Whether the own node is the first, whatever can be reached. */
+  /** Whether this node is the first in the order, whatever can be reached. */
   isFirstChoice(organisation: string): boolean;
-  /** Part of all nodes that this one can reach, itself included. */
+  /** Share of all nodes that this one can reach, itself included. */
   reachableRatio(): number;
-  /** A few random nodes of a zone, to find out whether it is cut off. */
+  /**
+   * A few random nodes of a zone to probe, to detect whether it is partitioned.
+   */
   probeTargets(zone: string, exceptKey?: string): readonly T[];
   /** Zones that have other nodes. */
   zones(): readonly string[];
 }
 
-/** What a choice needs. */
+/** Dependencies of a coordinator chooser. */
 export interface CoordinatorChooserOptions<T extends ZonedHost> {
-  /** Nodes that may coordinate, the own one among them. */
+  /** Nodes that may coordinate, including this one. */
   readonly hosts: () => Iterable<T>;
   readonly ownHostKey: string;
   readonly reachability: ZoneReachability;
@@ -35,13 +37,13 @@
   readonly random: () => number;
 }
 
-/** Time for which an order of hosts is kept. */
-const ORDER_MILLIS = 200;
+/** Time for which an order of hosts is cached. */
+const ORDER_CACHE_MILLIS = 200;
 
 /** Nodes of a zone that are probed at a time. */
-const WITNESSES_COUNT = 2;
+const PROBE_TARGETS_COUNT = 2;
 
-/** Creates the choice of one node. */
+/** Creates the coordinator chooser of one node. */
 export function createCoordinatorChooser<T extends ZonedHost>(
   options: CoordinatorChooserOptions<T>,
 ): CoordinatorChooser<T> {
@@ -54,7 +56,7 @@
     const now = nowMillis();
     if (now < hostsUntilMillis) return hosts;
     hosts = [...options.hosts()];
-    hostsUntilMillis = now + ORDER_MILLIS;
+    hostsUntilMillis = now + ORDER_CACHE_MILLIS;
     orders.clear();
     return hosts;
   };
@@ -71,11 +73,11 @@
     return order;
   };
 
-  const isReached = (host: T): boolean =>
+  const isReachable = (host: T): boolean =>
     host.hostKey === ownHostKey || !reachability.isPartitioned(host.zone);
 
   const isUnavailable = (host: T): boolean =>
-    !isReached(host) || reachability.hasRecentFailure(host);
+    !isReachable(host) || reachability.hasRecentFailure(host);
 
   const others = (): readonly T[] =>
     currentHosts().filter(({hostKey}) => hostKey !== ownHostKey);
@@ -88,16 +90,16 @@
       orderOf(organisation)[0]?.hostKey === ownHostKey,
     reachableRatio: () => {
       const all = currentHosts();
-      return all.length === 0 ? 1 : all.filter(isReached).length / all.length;
+      return all.length === 0 ? 1 : all.filter(isReachable).length / all.length;
     },
     probeTargets: (zone, exceptKey) => {
-      const left = others().filter(
+      const candidates = others().filter(
         host => host.zone === zone && host.hostKey !== exceptKey,
       );
       const chosen: T[] = [];
-      while (chosen.length < WITNESSES_COUNT && left.length > 0) {
-        const index = Math.floor(options.random() * left.length);
-        chosen.push(...left.splice(index, 1));
+      while (chosen.length < PROBE_TARGETS_COUNT && candidates.length > 0) {
+        const index = Math.floor(options.random() * candidates.length);
+        chosen.push(...candidates.splice(index, 1));
       }
       return chosen;
     },
--- a/src/process/quota/quota_account.ts
+++ b/src/process/quota/quota_account.ts
@@ -1,44 +1,47 @@
 /**
  * Account of one organisation's quota at its coordinator: how many requests the
- * fleet may still run, and which share of what is offered that is.
+ * fleet may still run, and which share of the offered requests that is.
  *
- * Load pattern: an organisation sends many times its usual at all nodes at once.
- * Reports come a fraction of a second late, so the account may be overdrawn; the
- * debt is paid back before anything else is admitted, so that the sum over any
- * window longer than the delay stays at the limit.
+ * Load pattern: an organisation sends many times its usual load at all nodes at
+ * once. Reports arrive a fraction of a second late, so the account may be
+ * overdrawn; the debt is paid back before anything else is admitted, so that
+ * the sum over any window longer than the delay stays within the limit.
  */
 import type {OrganisationQuota} from '../../version/organisation.js';
 import type {QuotaBound} from '../settings/node_settings.js';
 import type {QuotaAllowance} from '../../protocol/quota_messages.js';
 import {QUOTA_RANKS_COUNT} from '../../protocol/quota_messages.js';
 
-/** An account. */
+/** Account of one organisation: a token bucket that may be overdrawn. */
 export interface QuotaAccount {
-  /** Records requests that ran; fewer than 0 were taken back. */
+  /**
+   * Records requests that ran; a negative count reverts requests that did not
+   * run.
+   */
   recordRan(count: number): void;
-  /** Records requests offered, by rank of their route. */
+  /** Records offered requests by the rank of their route. */
   recordOffered(counts: readonly number[]): void;
   allowance(): QuotaAllowance;
 }
 
-/** What an account needs. */
+/** Dependencies of a quota account. */
 export interface QuotaAccountOptions {
   readonly organisation: string;
-  /** The quota of now; configurations may change it. */
+  /** The current quota; a new configuration may change it. */
   readonly quota: () => OrganisationQuota;
   readonly bound: () => QuotaBound;
-  /** Part of the fleet that this coordinator answers for. */
+  /** Share of the fleet that this coordinator serves. */
   readonly fleetRatio: () => number;
   /**
-   * Another coordinator may have let the burst run a moment ago, and knew of demand
-   * that this one has to learn.
+   * Whether another coordinator may have admitted the burst recently, with
+   * demand that this one has to learn.
    */
   readonly isTakenOver: boolean;
   readonly nowMillis: () => number;
 }
 
 /**
- * Part of the tolerated excess that is admitted on purpose; the rest is for
+ * Share of the tolerated excess that is admitted deliberately; the rest is for
  * requests that run before their reports arrive.
  */
 const PLANNED_EXCESS_RATIO = 0.3;
@@ -46,19 +49,22 @@
 /** Time in which the demand on an account that was taken over is learned. */
 const LEARN_MILLIS = 500;
 
-/** Time in which a surplus is spent, or a debt is paid. */
+/** Time in which a surplus is spent, or a debt is paid back. */
 const SETTLE_MILLIS = 1000;
 
-/** Slots in which demand is counted, and how many of them make the estimate. */
+/**
+ * Time slots in which demand is counted, and the number of them in the
+ * estimate.
+ */
 const SLOT_MILLIS = 200;
 const SLOTS_COUNT = 5;
 
-/** Demand that has just risen is taken from so many slots alone. */
+/** Number of slots from which demand that has just risen is estimated. */
 const RECENT_SLOTS_COUNT = 2;
 
 const MILLIS_PER_SECOND = 1000;
 
-/** Creates an account. */
+/** Creates the account of an organisation. */
 export function createQuotaAccount(options: QuotaAccountOptions): QuotaAccount {
   const {nowMillis, bound, quota, fleetRatio} = options;
 
@@ -88,7 +94,10 @@
     tokensCount = Math.min(capacityCount(), tokensCount + added);
   };
 
-  /** The higher of two estimates, so that a sudden demand is seen at once. */
+  /**
+   * Uses the higher of two estimates, so that a sudden demand is detected at
+   * once.
+   */
   const offeredPerSecond = (rank: number): number => {
     const slot = slotAt(nowMillis());
     return Math.max(
@@ -103,10 +112,11 @@
     );
     const demand = demands.reduce((sum, perSecond) => sum + perSecond, 0);
     if (demand <= admittedPerSecond) return [];
-    let left = admittedPerSecond;
+    let remaining = admittedPerSecond;
     return demands.map(perSecond => {
-      const ratio = perSecond === 0 ? Math.sign(left) : left / perSecond;
-      left = Math.max(0, left - perSecond);
+      const ratio =
+        perSecond === 0 ? Math.sign(remaining) : remaining / perSecond;
+      remaining = Math.max(0, remaining - perSecond);
       return Math.min(1, ratio);
     });
   };
@@ -126,12 +136,13 @@
     allowance: () => {
       refill();
       const rate = ratePerSecond();
-      const settling = (tokensCount * MILLIS_PER_SECOND) / SETTLE_MILLIS;
+      const settlingPerSecond =
+        (tokensCount * MILLIS_PER_SECOND) / SETTLE_MILLIS;
       const debtCount = Math.max(0, -tokensCount);
       return {
         organisation: options.organisation,
         isSettling: nowMillis() < settledMillis,
-        admittedRatios: admittedRatios(Math.max(0, rate + settling)),
+        admittedRatios: admittedRatios(Math.max(0, rate + settlingPerSecond)),
         returnMillis: (debtCount / Math.max(rate, 1)) * MILLIS_PER_SECOND,
         ranPerSecond: ran.perSecond(0, slotAt(nowMillis()), SLOTS_COUNT),
         limitPerSecond: quota().ratePerSecond,
@@ -144,10 +155,10 @@
   return Math.floor(millis / SLOT_MILLIS);
 }
 
-/** Counts by rank in the latest slots. */
+/** Counts by rank in the latest time slots. */
 interface SlotCounts {
   add(rank: number, slot: number, count: number): void;
-  /** Mean over so many slots that have ended. */
+  /** Mean rate over so many slots. */
   perSecond(rank: number, slot: number, slotsCount: number): number;
 }
 
@@ -166,15 +177,15 @@
   };
   return {
     add: (rank, slot, count) => {
-      const place =
+      const index =
         begin(slot) * QUOTA_RANKS_COUNT + Math.min(rank, QUOTA_RANKS_COUNT - 1);
-      counts[place] = (counts[place] ?? 0) + count;
+      counts[index] = (counts[index] ?? 0) + count;
     },
     perSecond: (rank, slot, slotsCount) => {
       let sum = 0;
-      for (let back = 0; back < slotsCount; back += 1) {
-        const index = indexOf(slot - back);
-        if (slots[index] !== slot - back) continue;
+      for (let offset = 0; offset < slotsCount; offset += 1) {
+        const index = indexOf(slot - offset);
+        if (slots[index] !== slot - offset) continue;
         sum += counts[index * QUOTA_RANKS_COUNT + rank] ?? 0;
       }
       return (sum * MILLIS_PER_SECOND) / (slotsCount * SLOT_MILLIS);
--- a/src/process/quota/quota_coordinator.ts
+++ b/src/process/quota/quota_coordinator.ts
@@ -1,6 +1,4 @@
-/**
- * Accounts of the organisations whose quotas this node coordinates.
- */
+/** Quota accounts of the organisations that this node coordinates. */
 import type {OrganisationQuota} from '../../version/organisation.js';
 import type {QuotaBound} from '../settings/node_settings.js';
 import type {QuotaAccount} from './quota_account.js';
@@ -11,32 +9,32 @@
   QuotaUsage,
 } from '../../protocol/quota_messages.js';
 
-/** The coordinator of one node. */
+/** Quota coordinator of one node. */
 export interface QuotaCoordinator {
-  /** Records a report and returns the allowances that hold from now on. */
+  /** Records a report and returns the allowances that apply from now on. */
   receive(report: QuotaReport): readonly QuotaAllowance[];
-  /** Organisations with an account here. */
+  /** Number of organisations with an account here. */
   readonly accountsCount: number;
-  /** Whether an account was used a moment ago. */
+  /** Whether an account was used recently. */
   isActive(): boolean;
-  /** Drops accounts and reporters that have been quiet. */
+  /** Removes inactive accounts and reporters. */
   expire(): void;
 }
 
-/** What a coordinator needs. */
+/** Dependencies of a quota coordinator. */
 export interface QuotaCoordinatorOptions {
   /** Quota of an organisation in the version in force. */
   readonly quotaOf: (organisation: string) => OrganisationQuota | undefined;
   readonly bound: () => QuotaBound;
   /** Whether all nodes would choose this one if they could reach it. */
   readonly isFirstChoice: (organisation: string) => boolean;
-  /** Part of the fleet that can reach this node. */
+  /** Share of the fleet that can reach this node. */
   readonly reachableRatio: () => number;
   readonly nowMillis: () => number;
 }
 
-/** Quiet time after which an account is dropped; it is full again by then. */
-const FORGET_MILLIS = 30_000;
+/** Inactivity after which an account is removed; it is full again by then. */
+const INACTIVITY_MILLIS = 30_000;
 
 /** Time after its last use for which an account counts as active. */
 const ACTIVE_MILLIS = 1000;
@@ -44,7 +42,7 @@
 interface Reporter {
   readonly ranCounts: Map<string, number>;
   sequence: number;
-  seenMillis: number;
+  lastReportMillis: number;
 }
 
 interface UsedAccount {
@@ -61,10 +59,14 @@
   const accounts = new Map<string, UsedAccount>();
   const reporters = new Map<string, Reporter>();
 
-  /** Whether another coordinator, or this one before a restart, may know more. */
+  /**
+   * Whether another coordinator, or this one before a restart, may have counts
+   * that this one lacks.
+   */
   const isTakenOver = (organisation: string): boolean => {
-    const isNew = nowMillis() - startedMillis < bound().windowMillis;
-    return isNew || !options.isFirstChoice(organisation);
+    const isRecentlyStarted =
+      nowMillis() - startedMillis < bound().windowMillis;
+    return isRecentlyStarted || !options.isFirstChoice(organisation);
   };
 
   const accountOf = (
@@ -91,16 +93,17 @@
   const reporterOf = (reporterId: string): Reporter => {
     const known = reporters.get(reporterId);
     if (known !== undefined) return known;
-    const created = {ranCounts: new Map(), sequence: -1, seenMillis: 0};
+    const created = {ranCounts: new Map(), sequence: -1, lastReportMillis: 0};
     reporters.set(reporterId, created);
     return created;
   };
 
   /**
-   * Requests that ran since the last report, without those that another coordinator
-   * has confirmed meanwhile or that were counted here though the answer was lost.
+   * Requests that ran since the last report, except those that another
+   * coordinator has confirmed meanwhile or that were counted here although the
+   * response was lost.
    */
-  const newlyRan = ({ranCounts}: Reporter, use: QuotaUsage): number => {
+  const newRunsCount = ({ranCounts}: Reporter, use: QuotaUsage): number => {
     const before = ranCounts.get(use.organisation);
     ranCounts.set(use.organisation, use.ranCount);
     if (before === undefined) return use.unconfirmedCount;
@@ -112,7 +115,7 @@
       const reporter = reporterOf(reporterId);
       const isStale = sequence <= reporter.sequence;
       reporter.sequence = Math.max(reporter.sequence, sequence);
-      reporter.seenMillis = nowMillis();
+      reporter.lastReportMillis = nowMillis();
       const allowances: QuotaAllowance[] = [];
       for (const use of uses) {
         const quota = quotaOf(use.organisation);
@@ -122,7 +125,7 @@
         }
         const account = accountOf(use.organisation, quota);
         if (!isStale) {
-          account.recordRan(newlyRan(reporter, use));
+          account.recordRan(newRunsCount(reporter, use));
           account.recordOffered(use.offeredCounts);
         }
         allowances.push(account.allowance());
@@ -140,18 +143,21 @@
       return false;
     },
     expire: () => {
-      const sinceMillis = nowMillis() - FORGET_MILLIS;
+      const sinceMillis = nowMillis() - INACTIVITY_MILLIS;
       for (const [organisation, {usedMillis}] of accounts) {
         if (usedMillis < sinceMillis) accounts.delete(organisation);
       }
-      for (const [reporterId, {seenMillis}] of reporters) {
-        if (seenMillis < sinceMillis) reporters.delete(reporterId);
+      for (const [reporterId, {lastReportMillis}] of reporters) {
+        if (lastReportMillis < sinceMillis) reporters.delete(reporterId);
       }
     },
   };
 }
 
-/** An organisation that this node's version does not limit, or does not have. */
+/**
+ * Allowance of an organisation that has no quota in this node's version, or is
+ * not part of it.
+ */
 function unlimited(organisation: string): QuotaAllowance {
   return {
     organisation,
--- a/src/process/quota/quota_enforcer.ts
+++ b/src/process/quota/quota_enforcer.ts
@@ -1,12 +1,12 @@
 /**
- * Enforces the quotas of organisations over the whole fleet: requests that enter here
- * are counted and reported to the coordinator of each organisation, which answers
- * with the share of the requests to admit.
+ * Enforces the quotas of organisations over the whole fleet: requests that
+ * enter at this node are counted and reported to the coordinator of each
+ * organisation, which responds with the share of the requests to admit.
  *
- * While a coordinator does not answer, its last allowance stays in force. Another one
- * is chosen only once it is known whether the node has ended or a zone is cut off:
- * otherwise the coordinators of both parts of a fleet would each allow the whole
- * quota.
+ * While a coordinator does not respond, its last allowance stays in force.
+ * Another one is chosen only once it is known whether the node has exited or a
+ * zone is partitioned: otherwise the coordinators of both parts of a fleet
+ * would each allow the whole quota.
  */
 import type {Organisation} from '../../version/organisation.js';
 import type {
@@ -23,20 +23,26 @@
 } from './quota_limiter.js';
 import type {ZonedHost, ZoneReachability} from './zone_reachability.js';
 
-/** The exchange of one node. */
+/** Quota enforcement of one node. */
 export interface QuotaEnforcer {
-  /** Decides about a request; waits only where nothing is known that matters. */
+  /**
+   * Decides whether to admit a request. Waits for the coordinator only if no
+   * recent allowance is known and a wrong decision would matter.
+   */
   decide(
     organisation: Organisation,
     rank: number,
   ): QuotaDecision | Promise<QuotaDecision>;
-  /** The request is passed on, and runs unless it is taken back. */
+  /**
+   * Records that a request is passed on; it runs unless `recordNotRun` is
+   * called.
+   */
   recordRan(organisation: Organisation): void;
-  /** The request was passed on and has not run. */
+  /** Records that a request was passed on and has not run. */
   recordNotRun(organisation: Organisation): void;
-  /** Answers a report of another node. */
+  /** Handles a report of another node and returns the allowances. */
   receive(report: QuotaReport): readonly QuotaAllowance[];
-  /** Reports what has changed; called at intervals. */
+  /** Reports changed counts; called at intervals. */
   tick(): void;
 }
 
@@ -46,22 +52,22 @@
   | {
       readonly kind: 'over-quota';
       readonly allowance: CachedAllowance;
-      /** Where the coordinator of the organisation is. */
+      /** Host of the organisation's coordinator. */
       readonly coordinator: string | undefined;
     };
 
-/** What came of a report. */
+/** Result of sending a report. */
 export type ReportResult =
   | {
       readonly kind: 'answered';
       readonly allowances: readonly QuotaAllowance[];
     }
-  /** Nothing came; the node may be cut off. */
+  /** There was no response; the node may be partitioned. */
   | {readonly kind: 'silent'}
-  /** Its host refused or closed the connection, so that it is not cut off. */
+  /** Its host refused or closed the connection, so it is not partitioned. */
   | {readonly kind: 'closed'};
 
-/** What an exchange needs. */
+/** Dependencies of a quota enforcer. */
 export interface QuotaEnforcerOptions<T extends ZonedHost> {
   /** Identifies this start of the process. */
   readonly reporterId: string;
@@ -72,33 +78,39 @@
   readonly coordinatorChooser: CoordinatorChooser<T>;
   readonly reachability: ZoneReachability;
   readonly send: (host: T, report: QuotaReport) => Promise<ReportResult>;
-  /** Resolves when an answer that a request waits for has taken too long. */
+  /**
+   * Resolves when a request has waited too long for a response of the
+   * coordinator.
+   */
   readonly waitTimeout: () => Promise<void>;
 }
 
-/** Interval of reports. */
+/** Interval between reports. */
 export const REPORT_INTERVAL_MILLIS = 200;
 
-/** Longest wait of a request for an answer of the coordinator. */
+/** Maximum time that a request waits for a response of the coordinator. */
 export const MAX_WAIT_MILLIS = 50;
 
-/** Reports that are sent again before their node is passed over. */
+/** Retries of a report before its node counts as unavailable. */
 const RETRIES_COUNT = 2;
 
-/** Silence of a zone after which a coordinator asks nodes there for a sign. */
+/**
+ * Time without messages from a zone after which a coordinator probes nodes
+ * there.
+ */
 const PROBE_MILLIS = 400;
 
 const ADMITTED: QuotaDecision = {kind: 'admitted'};
 
-/** Creates the exchange of one node. */
+/** Creates the quota enforcement of one node. */
 export function createQuotaEnforcer<T extends ZonedHost>(
   options: QuotaEnforcerOptions<T>,
 ): QuotaEnforcer {
   const {limiter, coordinator, coordinatorChooser, reachability, ownHostKey} =
     options;
-  const asking = new Map<string, Promise<void>>();
-  const reporting = new Set<string>();
-  const probing = new Set<string>();
+  const pendingRequests = new Map<string, Promise<void>>();
+  const reportingKeys = new Set<string>();
+  const probingZones = new Set<string>();
   let sequence = 0;
 
   const reportOf = (uses: readonly QuotaUsage[]): QuotaReport => {
@@ -108,30 +120,33 @@
   };
 
   const send = async (host: T, report: QuotaReport): Promise<ReportResult> => {
-    const end = await options.send(host, report);
-    if (end.kind === 'answered') reachability.recordReceived(host.zone);
-    return end;
+    const result = await options.send(host, report);
+    if (result.kind === 'answered') reachability.recordReceived(host.zone);
+    return result;
   };
 
-  const noteFailed = (host: T, end: ReportResult): void => {
-    if (end.kind === 'silent') reachability.recordTimeout(host);
-    if (end.kind === 'closed') reachability.recordClosed(host);
+  const recordFailure = (host: T, result: ReportResult): void => {
+    if (result.kind === 'silent') reachability.recordTimeout(host);
+    if (result.kind === 'closed') reachability.recordClosed(host);
   };
 
   const probe = async (host: T): Promise<void> => {
-    noteFailed(host, await send(host, reportOf([])));
+    recordFailure(host, await send(host, reportOf([])));
   };
 
-  /** Asks once more, and others of its zone whether they can be reached. */
-  const sendAgain = async (
+  /**
+   * Sends a report again and probes other nodes of the zone, to detect whether
+   * it is partitioned.
+   */
+  const retryWithProbes = async (
     host: T,
     report: QuotaReport,
   ): Promise<ReportResult> => {
-    const [end] = await Promise.all([
+    const [result] = await Promise.all([
       send(host, report),
       ...coordinatorChooser.probeTargets(host.zone, host.hostKey).map(probe),
     ]);
-    return end;
+    return result;
   };
 
   const report = async (
@@ -143,46 +158,56 @@
       limiter.confirm(uses, coordinator.receive(sent));
       return;
     }
-    let end = await send(host, sent);
+    let result = await send(host, sent);
     for (let retry = 0; retry < RETRIES_COUNT; retry += 1) {
-      if (end.kind === 'answered' || coordinatorChooser.isUnavailable(host)) {
+      if (
+        result.kind === 'answered' ||
+        coordinatorChooser.isUnavailable(host)
+      ) {
         break;
       }
-      end = await sendAgain(host, sent);
+      result = await retryWithProbes(host, sent);
     }
-    noteFailed(host, end);
-    if (end.kind === 'answered') limiter.confirm(uses, end.allowances);
+    recordFailure(host, result);
+    if (result.kind === 'answered') limiter.confirm(uses, result.allowances);
     else limiter.recordUnanswered(uses);
   };
 
-  /** Requests that wait for the same answer share the question. */
-  const ask = (organisation: Organisation): Promise<void> | undefined => {
+  /**
+   * Reports the usage of an organisation to its coordinator. Requests that wait
+   * for the same allowance share the report.
+   */
+  const requestAllowance = (
+    organisation: Organisation,
+  ): Promise<void> | undefined => {
     const {name, quota} = organisation;
-    const known = asking.get(name);
-    if (known !== undefined || quota === undefined) return known;
-    const uses = [limiter.takeUse(name, quota)];
-    const asked = report(coordinatorChooser.choose(name), uses).finally(() => {
-      asking.delete(name);
-    });
-    asking.set(name, asked);
-    return asked;
+    const pending = pendingRequests.get(name);
+    if (pending !== undefined || quota === undefined) return pending;
+    const uses = [limiter.takeUsage(name, quota)];
+    const request = report(coordinatorChooser.choose(name), uses).finally(
+      () => {
+        pendingRequests.delete(name);
+      },
+    );
+    pendingRequests.set(name, request);
+    return request;
   };
 
   const decisionOf = (
     {name}: Organisation,
-    verdict: DefiniteQuotaCheckResult,
+    result: DefiniteQuotaCheckResult,
   ): QuotaDecision => {
-    if (verdict.kind === 'admitted') return ADMITTED;
-    return {...verdict, coordinator: coordinatorChooser.choose(name)?.hostKey};
+    if (result.kind === 'admitted') return ADMITTED;
+    return {...result, coordinator: coordinatorChooser.choose(name)?.hostKey};
   };
 
-  const decideAfterAsking = async (
+  const decideAfterRequest = async (
     organisation: Organisation,
     rank: number,
   ): Promise<QuotaDecision> => {
-    await Promise.race([ask(organisation), options.waitTimeout()]);
-    const verdict = limiter.check(organisation, rank);
-    if (verdict.kind !== 'unknown') return decisionOf(organisation, verdict);
+    await Promise.race([requestAllowance(organisation), options.waitTimeout()]);
+    const result = limiter.check(organisation, rank);
+    if (result.kind !== 'unknown') return decisionOf(organisation, result);
     return decisionOf(
       organisation,
       limiter.checkWithoutCoordinator(organisation, rank),
@@ -194,35 +219,40 @@
     uses: readonly QuotaUsage[],
   ): Promise<void> => {
     const key = host?.hostKey ?? ownHostKey;
-    reporting.add(key);
+    reportingKeys.add(key);
     await report(host, uses);
-    reporting.delete(key);
+    reportingKeys.delete(key);
   };
 
   const probeZone = async (zone: string): Promise<void> => {
-    probing.add(zone);
+    probingZones.add(zone);
     await Promise.all(coordinatorChooser.probeTargets(zone).map(probe));
-    probing.delete(zone);
+    probingZones.delete(zone);
   };
 
-  /** A silent zone may be cut off, or have nothing to report. */
+  /**
+   * Probes zones without messages, which may be partitioned or have nothing to
+   * report.
+   */
   const probeSilentZones = (): void => {
     for (const zone of coordinatorChooser.zones()) {
-      const isAwaited =
+      const isProbeNeeded =
         reachability.isPartitioned(zone) || coordinator.isActive();
-      if (!isAwaited || probing.has(zone)) continue;
+      if (!isProbeNeeded || probingZones.has(zone)) continue;
       if (reachability.sinceReceivedMillis(zone) >= PROBE_MILLIS) {
         void probeZone(zone);
       }
     }
   };
 
-  const reportUses = (): void => {
+  const reportUsages = (): void => {
     const groups = new Map<string, {host: T | undefined; uses: QuotaUsage[]}>();
-    // One report at a time goes to each coordinator.
-    const uses = limiter.takeUses(
+    // At most one report at a time is sent to each coordinator.
+    const uses = limiter.takeDueUsages(
       name =>
-        !reporting.has(coordinatorChooser.choose(name)?.hostKey ?? ownHostKey),
+        !reportingKeys.has(
+          coordinatorChooser.choose(name)?.hostKey ?? ownHostKey,
+        ),
     );
     for (const use of uses) {
       const host = coordinatorChooser.choose(use.organisation);
@@ -238,11 +268,11 @@
 
   return {
     decide: (organisation, rank) => {
-      const verdict = limiter.check(organisation, rank);
-      if (verdict.kind === 'unknown') {
-        return decideAfterAsking(organisation, rank);
+      const result = limiter.check(organisation, rank);
+      if (result.kind === 'unknown') {
+        return decideAfterRequest(organisation, rank);
       }
-      return decisionOf(organisation, verdict);
+      return decisionOf(organisation, result);
     },
     recordRan: limiter.recordRan,
     recordNotRun: limiter.recordNotRun,
@@ -251,7 +281,7 @@
       return coordinator.receive(received);
     },
     tick: () => {
-      reportUses();
+      reportUsages();
       probeSilentZones();
     },
   };
--- a/src/process/quota/quota_limiter.ts
+++ b/src/process/quota/quota_limiter.ts
@@ -1,11 +1,11 @@
 /**
- * Decides at the entry whether a request is within the quota of its organisation,
- * by what the coordinator of the quota allowed last.
+ * Decides at the entry node whether a request is within the quota of its
+ * organisation, by the last allowance of the quota's coordinator.
  *
  * Load pattern: most organisations are far below their limit at all times, so a
- * request is admitted without a message and counted. Where a single request at each
- * node would use up the tolerated excess, a node that knows nothing of an
- * organisation asks before it admits one.
+ * request is admitted without a message and counted. Where a single request at
+ * each node would use up the tolerated excess, a node without an allowance for
+ * an organisation requests one before it admits a request.
  */
 import type {
   Organisation,
@@ -18,57 +18,68 @@
 } from '../../protocol/quota_messages.js';
 import {QUOTA_RANKS_COUNT} from '../../protocol/quota_messages.js';
 
-/** Gate of one node. */
+/** Quota decisions of one node. */
 export interface QuotaLimiter {
-  /** Whether to admit a request, by the rank of its route. */
+  /** Decides whether to admit a request, by the rank of its route. */
   check(organisation: Organisation, rank: number): QuotaCheckResult;
   /**
-   * Whether to admit a request whose coordinator does not answer: by what it
-   * allowed last, or by an equal share of the quota for each node.
+   * Decides whether to admit a request whose coordinator does not respond: by
+   * its last allowance, or by an equal share of the quota for each node.
    */
   checkWithoutCoordinator(
     organisation: Organisation,
     rank: number,
   ): DefiniteQuotaCheckResult;
-  /** The request is passed on, and runs unless it is taken back. */
+  /**
+   * Records that a request is passed on; it runs unless `recordNotRun` is
+   * called.
+   */
   recordRan(organisation: Organisation): void;
-  /** The request was passed on and has not run. */
+  /** Records that a request was passed on and has not run. */
   recordNotRun(organisation: Organisation): void;
-  /** Uses to report now, of organisations that pass the filter. */
-  takeUses(mayReport: (organisation: string) => boolean): readonly QuotaUsage[];
-  /** Uses of one organisation to report now, before a request of it is admitted. */
-  takeUse(organisation: string, quota: OrganisationQuota): QuotaUsage;
-  /** A report of these was answered. */
+  /** Takes the usages to report now, of organisations that pass the filter. */
+  takeDueUsages(
+    mayReport: (organisation: string) => boolean,
+  ): readonly QuotaUsage[];
+  /**
+   * Takes the usage of one organisation to report now, before a request of it
+   * is admitted.
+   */
+  takeUsage(organisation: string, quota: OrganisationQuota): QuotaUsage;
+  /** Records the response to a report of these usages. */
   confirm(
     uses: readonly QuotaUsage[],
     allowances: readonly QuotaAllowance[],
   ): void;
-  /** A report of these was not answered; they are due again. */
+  /**
+   * Records that there was no response to a report of these usages, so that
+   * they are due again.
+   */
   recordUnanswered(uses: readonly QuotaUsage[]): void;
-  /** What is known of organisations that are limited now. */
+  /** Allowances of organisations that are limited now. */
   limited(): readonly CachedAllowance[];
-  /** Drops what is known of organisations that have been quiet. */
+  /** Removes inactive organisations. */
   expire(): void;
 }
 
-/** What comes of a check. */
+/** Result of a check. */
 export type QuotaCheckResult =
   | DefiniteQuotaCheckResult
-  /** Nothing is known that is recent enough, and it matters. */
+  /** No recent allowance is known, and a wrong decision would matter. */
   | {readonly kind: 'unknown'};
 
-/** A verdict by what is known. */
+/** Result of a check that does not need another allowance. */
 export type DefiniteQuotaCheckResult =
   | {readonly kind: 'admitted'}
   | {readonly kind: 'over-quota'; readonly allowance: CachedAllowance};
 
-/** An allowance as a node knows it. */
+/** Allowance of an organisation as cached by a node. */
 export interface CachedAllowance extends QuotaAllowance {
-  /** Age of what is known. */
+  /** Age of the cached allowance. */
   readonly ageMillis: number;
 }
 
-/** What a gate needs. */
+/** Dependencies of a quota limiter. */
 export interface QuotaLimiterOptions {
   readonly bound: () => QuotaBound;
   readonly nodesCount: () => number;
@@ -77,98 +88,114 @@
   readonly random: () => number;
 }
 
-/** Time for which an allowance is followed. */
-const FOLLOWED_MILLIS = 2000;
+/** Time for which an allowance is valid. */
+const VALID_MILLIS = 2000;
 
-/** Time for which it is followed while the coordinator does not answer. */
+/**
+ * Time for which an allowance is valid while the coordinator does not respond.
+ */
 const STALE_MILLIS = 10_000;
 
-/** Part of the tolerated excess that first requests of all nodes may use up. */
+/**
+ * Share of the tolerated excess that the first requests of all nodes may use
+ * up.
+ */
 const FIRST_REQUESTS_RATIO = 0.4;
 
-/** Quiet time after which an organisation is forgotten. */
-const FORGET_MILLIS = 10_000;
+/** Inactivity after which an organisation is removed. */
+const INACTIVITY_MILLIS = 10_000;
 
 const MILLIS_PER_SECOND = 1000;
 
-/** What a node keeps of one organisation. */
-interface Use {
+/** Usage of one organisation at this node, and its allowance. */
+interface OrganisationUsage {
   readonly organisation: string;
   ranCount: number;
   confirmedCount: number;
   hasChanged: boolean;
   readonly offeredCounts: number[];
-  /** Parts of requests that the shares of each rank have added up to. */
+  /**
+   * Fractions of requests that the admitted ratios of each rank have added up
+   * to.
+   */
   readonly credits: number[];
   usedMillis: number;
   allowance: QuotaAllowance | undefined;
-  allowedMillis: number;
-  /** Requests of the equal share that are left, and since when. */
+  allowanceReceivedMillis: number;
+  /** Remaining requests of the equal share, and when it was last refilled. */
   shareCount: number;
-  sharedMillis: number;
+  shareRefilledMillis: number;
 }
 
 const ADMITTED: DefiniteQuotaCheckResult = {kind: 'admitted'};
 const UNKNOWN: QuotaCheckResult = {kind: 'unknown'};
 
-/** Creates a gate that knows of no use. */
+/** Creates a limiter without any recorded usage. */
 export function createQuotaLimiter(options: QuotaLimiterOptions): QuotaLimiter {
   const {bound, nodesCount, nowMillis, random} = options;
-  const uses = new Map<string, Use>();
+  const uses = new Map<string, OrganisationUsage>();
 
-  const useOf = (organisation: string, quota: OrganisationQuota): Use => {
+  const usageOf = (
+    organisation: string,
+    quota: OrganisationQuota,
+  ): OrganisationUsage => {
     const known = uses.get(organisation);
     if (known !== undefined) return known;
     const toleratedCount = firstRequestsCount(quota, bound());
-    const firstPart = toleratedCount / Math.max(1, nodesCount());
-    const created: Use = {
+    const firstRequestRatio = toleratedCount / Math.max(1, nodesCount());
+    const created: OrganisationUsage = {
       organisation,
       ranCount: 0,
       confirmedCount: 0,
       hasChanged: false,
       offeredCounts: new Array<number>(QUOTA_RANKS_COUNT).fill(0),
-      // A random beginning: where each node sees few requests, all of them would
-      // else refuse their first ones.
+      // Starts at random: where each node receives few requests, all nodes
+      // would otherwise refuse their first ones.
       credits: Array.from({length: QUOTA_RANKS_COUNT}, random),
       usedMillis: nowMillis(),
       allowance: undefined,
-      allowedMillis: -Infinity,
-      shareCount: random() < firstPart ? 1 : random(),
-      sharedMillis: nowMillis(),
+      allowanceReceivedMillis: -Infinity,
+      shareCount: random() < firstRequestRatio ? 1 : random(),
+      shareRefilledMillis: nowMillis(),
     };
     uses.set(organisation, created);
     return created;
   };
 
-  const isKnown = ({allowedMillis}: Use): boolean =>
-    nowMillis() - allowedMillis <= FOLLOWED_MILLIS;
+  const isAllowanceValid = ({
+    allowanceReceivedMillis,
+  }: OrganisationUsage): boolean =>
+    nowMillis() - allowanceReceivedMillis <= VALID_MILLIS;
 
-  const isFollowable = ({allowedMillis}: Use): boolean =>
-    nowMillis() - allowedMillis <= STALE_MILLIS;
+  const isAllowanceUsable = ({
+    allowanceReceivedMillis,
+  }: OrganisationUsage): boolean =>
+    nowMillis() - allowanceReceivedMillis <= STALE_MILLIS;
 
-  const followAllowance = (
-    use: Use,
-    place: number,
+  const applyAllowance = (
+    use: OrganisationUsage,
+    index: number,
   ): DefiniteQuotaCheckResult => {
-    if (use.allowance === undefined || takesPart(use, place)) return ADMITTED;
-    const ageMillis = nowMillis() - use.allowedMillis;
+    if (use.allowance === undefined || takeCredit(use, index)) return ADMITTED;
+    const ageMillis = nowMillis() - use.allowanceReceivedMillis;
     return {kind: 'over-quota', allowance: {...use.allowance, ageMillis}};
   };
 
-  const takesShare = (
-    use: Use,
+  const takeShare = (
+    use: OrganisationUsage,
     {ratePerSecond}: OrganisationQuota,
   ): boolean => {
     const now = nowMillis();
     const perNode = ratePerSecond / Math.max(1, nodesCount());
-    const added = (perNode * (now - use.sharedMillis)) / MILLIS_PER_SECOND;
+    const added =
+      (perNode * (now - use.shareRefilledMillis)) / MILLIS_PER_SECOND;
     const shareCount = Math.min(Math.max(1, perNode), use.shareCount + added);
-    use.sharedMillis = now;
+    use.shareRefilledMillis = now;
     use.shareCount = shareCount >= 1 ? shareCount - 1 : shareCount;
     return shareCount >= 1;
   };
 
-  const toReport = (use: Use): QuotaUsage => {
+  const toReport = (use: OrganisationUsage): QuotaUsage => {
     const offeredCounts = [...use.offeredCounts];
     use.offeredCounts.fill(0);
     use.hasChanged = false;
@@ -177,52 +204,52 @@
     return {organisation, ranCount, unconfirmedCount, offeredCounts};
   };
 
-  const count = (use: Use, added: number): void => {
+  const count = (use: OrganisationUsage, added: number): void => {
     use.ranCount += added;
     use.hasChanged = true;
   };
 
-  /** A limit that is in use is asked for again before it is out of date. */
-  const isDue = (use: Use): boolean =>
+  /** A limiting allowance that is in use is refreshed before it expires. */
+  const isDue = (use: OrganisationUsage): boolean =>
     use.hasChanged ||
-    (isLimited(use) && nowMillis() - use.usedMillis <= FOLLOWED_MILLIS);
+    (isLimited(use) && nowMillis() - use.usedMillis <= VALID_MILLIS);
 
   return {
     check: ({name, quota}, rank) => {
       if (quota === undefined) return ADMITTED;
-      const use = useOf(name, quota);
-      const place = Math.min(rank, QUOTA_RANKS_COUNT - 1);
-      if (!isKnown(use)) {
+      const use = usageOf(name, quota);
+      const index = Math.min(rank, QUOTA_RANKS_COUNT - 1);
+      if (!isAllowanceValid(use)) {
         if (nodesCount() > firstRequestsCount(quota, bound())) return UNKNOWN;
-        recordOffered(use, place, nowMillis());
+        recordOffered(use, index, nowMillis());
         return ADMITTED;
       }
-      recordOffered(use, place, nowMillis());
-      return followAllowance(use, place);
+      recordOffered(use, index, nowMillis());
+      return applyAllowance(use, index);
     },
     recordRan: ({name, quota}) => {
-      if (quota !== undefined) count(useOf(name, quota), 1);
+      if (quota !== undefined) count(usageOf(name, quota), 1);
     },
     recordNotRun: ({name, quota}) => {
-      if (quota !== undefined) count(useOf(name, quota), -1);
+      if (quota !== undefined) count(usageOf(name, quota), -1);
     },
     checkWithoutCoordinator: ({name, quota}, rank) => {
       if (quota === undefined) return ADMITTED;
-      const use = useOf(name, quota);
-      const place = Math.min(rank, QUOTA_RANKS_COUNT - 1);
-      recordOffered(use, place, nowMillis());
-      if (isFollowable(use)) return followAllowance(use, place);
-      if (takesShare(use, quota)) return ADMITTED;
-      return {kind: 'over-quota', allowance: unansweredFor(name, quota)};
+      const use = usageOf(name, quota);
+      const index = Math.min(rank, QUOTA_RANKS_COUNT - 1);
+      recordOffered(use, index, nowMillis());
+      if (isAllowanceUsable(use)) return applyAllowance(use, index);
+      if (takeShare(use, quota)) return ADMITTED;
+      return {kind: 'over-quota', allowance: unansweredAllowance(name, quota)};
     },
-    takeUses: mayReport => {
+    takeDueUsages: mayReport => {
       const due: QuotaUsage[] = [];
       for (const use of uses.values()) {
         if (isDue(use) && mayReport(use.organisation)) due.push(toReport(use));
       }
       return due;
     },
-    takeUse: (name, quota) => toReport(useOf(name, quota)),
+    takeUsage: (name, quota) => toReport(usageOf(name, quota)),
     confirm: (reported, allowances) => {
       for (const {organisation, ranCount} of reported) {
         const use = uses.get(organisation);
@@ -231,9 +258,9 @@
       for (const allowance of allowances) {
         const use = uses.get(allowance.organisation);
         if (use === undefined) continue;
-        const stands = allowance.isSettling && isFollowable(use);
-        if (!stands) use.allowance = allowance;
-        use.allowedMillis = nowMillis();
+        const keepsPrevious = allowance.isSettling && isAllowanceUsable(use);
+        if (!keepsPrevious) use.allowance = allowance;
+        use.allowanceReceivedMillis = nowMillis();
       }
     },
     recordUnanswered: reported => {
@@ -244,15 +271,18 @@
     },
     limited: () => {
       const now = nowMillis();
-      const known: CachedAllowance[] = [];
+      const allowances: CachedAllowance[] = [];
       for (const use of uses.values()) {
         if (use.allowance === undefined || !isLimited(use)) continue;
-        known.push({...use.allowance, ageMillis: now - use.allowedMillis});
+        allowances.push({
+          ...use.allowance,
+          ageMillis: now - use.allowanceReceivedMillis,
+        });
       }
-      return known;
+      return allowances;
     },
     expire: () => {
-      const sinceMillis = nowMillis() - FORGET_MILLIS;
+      const sinceMillis = nowMillis() - INACTIVITY_MILLIS;
       for (const [name, use] of uses) {
         if (use.usedMillis < sinceMillis && !use.hasChanged) uses.delete(name);
       }
@@ -260,8 +290,8 @@
   };
 }
 
-/** What is known of an organisation whose coordinator has never answered. */
-function unansweredFor(
+/** Allowance of an organisation whose coordinator has never responded. */
+function unansweredAllowance(
   organisation: string,
   {ratePerSecond}: OrganisationQuota,
 ): CachedAllowance {
@@ -276,28 +306,38 @@
   };
 }
 
-function recordOffered(use: Use, place: number, now: number): void {
-  use.offeredCounts[place] = (use.offeredCounts[place] ?? 0) + 1;
+function recordOffered(
+  use: OrganisationUsage,
+  index: number,
+  now: number,
+): void {
+  use.offeredCounts[index] = (use.offeredCounts[index] ?? 0) + 1;
   use.usedMillis = now;
   use.hasChanged = true;
 }
 
-function isLimited({allowance}: Use): boolean {
+function isLimited({allowance}: OrganisationUsage): boolean {
   return (allowance?.admittedRatios.length ?? 0) > 0;
 }
 
-/** Adds a request's share and takes a whole request from it, if it is there. */
-function takesPart({allowance, credits}: Use, place: number): boolean {
+/**
+ * Adds the admitted ratio to the credit of a rank, and takes a whole request
+ * from it if possible.
+ */
+function takeCredit(
+  {allowance, credits}: OrganisationUsage,
+  index: number,
+): boolean {
   const ratios = allowance?.admittedRatios ?? [];
   if (ratios.length === 0) return true;
-  const ratio = ratios[Math.min(place, ratios.length - 1)] ?? 0;
-  const credit = Math.min((credits[place] ?? 0) + ratio, 1 + ratio);
+  const ratio = ratios[Math.min(index, ratios.length - 1)] ?? 0;
+  const credit = Math.min((credits[index] ?? 0) + ratio, 1 + ratio);
   const isAdmitted = credit >= 1;
-  credits[place] = isAdmitted ? credit - 1 : credit;
+  credits[index] = isAdmitted ? credit - 1 : credit;
   return isAdmitted;
 }
 
-/** Requests that may run in the whole fleet before anything is known of them. */
+/** Requests that may run in the whole fleet before any allowance is known. */
 function firstRequestsCount(
   {ratePerSecond, burstCount}: OrganisationQuota,
   {overageRatio, slackCount, windowMillis}: QuotaBound,
--- a/src/process/quota/zone_reachability.ts
+++ b/src/process/quota/zone_reachability.ts
@@ -1,69 +1,79 @@
 /**
- * Which availability zones a node can reach, by the answers of nodes in them.
+ * Tracks which availability zones a node can reach, by the responses of the
+ * nodes there.
  *
- * A zone counts as cut off when several of its nodes do not answer and none has
- * been heard since, until one of them is. A single one that does not answer has most
- * likely lost its host.
+ * A zone counts as partitioned when several of its nodes do not respond and no
+ * message from it has arrived since. It stays so until a message arrives. A
+ * single node that does not respond has most likely lost its host.
  */
 
-/** A node in its zone. */
+/** A node and its zone. */
 export interface ZonedHost {
   readonly hostKey: string;
   readonly zone: string;
 }
 
-/** Reach of one node. */
+/** Reachability of zones from one node. */
 export interface ZoneReachability {
-  /** Something came from a zone. */
+  /** Records a message from a zone. */
   recordReceived(zone: string): void;
-  /** A node did not answer. */
+  /** Records that a node did not respond. */
   recordTimeout(host: ZonedHost): void;
-  /** The host of a node refused or closed a connection: the node has ended. */
+  /**
+   * Records that the host of a node refused or closed a connection: the node
+   * has exited.
+   */
   recordClosed(host: ZonedHost): void;
-  /** Whether a node did not answer, or had ended, a moment ago. */
+  /** Whether a node did not respond, or had exited, recently. */
   hasRecentFailure(host: ZonedHost): boolean;
   isPartitioned(zone: string): boolean;
-  /** Time since something came from a zone. */
+  /** Time since the last message from a zone. */
   sinceReceivedMillis(zone: string): number;
 }
 
-/** Time for which a node that did not answer is passed over. */
-const SILENT_MILLIS = 2000;
+/** Time for which a node that did not respond is skipped. */
+const UNRESPONSIVE_MILLIS = 2000;
 
 /**
- * Time for which a node that has ended is passed over. It may be back within half a
- * second, and while some nodes have found out and others have not, two coordinators
- * each allow the quota.
+ * Time for which a node that has exited is skipped. It may be back within half
+ * a second, and while some nodes have detected its exit and others have not,
+ * two coordinators each allow the quota.
  */
 const CLOSED_MILLIS = 300;
 
-/** Nodes of a zone that are silent, with none heard, until it counts as cut off. */
-const SILENT_HOSTS_COUNT = 2;
+/**
+ * Unresponsive nodes of a zone from which it counts as partitioned, unless a
+ * message from the zone has arrived since.
+ */
+const UNRESPONSIVE_HOSTS_COUNT = 2;
 
-interface ZoneSigns {
-  heardMillis: number;
-  /** When nodes did not answer, and when they were found to have ended. */
-  readonly silentMillis: Map<string, number>;
+interface ZoneState {
+  receivedMillis: number;
+  /**
+   * Times at which nodes did not respond, and at which they were found to have
+   * exited.
+   */
+  readonly unansweredMillis: Map<string, number>;
   readonly closedMillis: Map<string, number>;
-  isCutOff: boolean;
+  isPartitioned: boolean;
 }
 
-/** Creates the reach of a node that has heard from none. */
+/** Creates the state of a node that has received no message. */
 export function createZoneReachability(
   nowMillis: () => number,
 ): ZoneReachability {
-  const signs = new Map<string, ZoneSigns>();
+  const states = new Map<string, ZoneState>();
 
-  const signsOf = (zone: string): ZoneSigns => {
-    const known = signs.get(zone);
-    if (known !== undefined) return known;
-    const created: ZoneSigns = {
-      heardMillis: -Infinity,
-      silentMillis: new Map<string, number>(),
+  const stateOf = (zone: string): ZoneState => {
+    const state = states.get(zone);
+    if (state !== undefined) return state;
+    const created: ZoneState = {
+      receivedMillis: -Infinity,
+      unansweredMillis: new Map<string, number>(),
       closedMillis: new Map<string, number>(),
-      isCutOff: false,
+      isPartitioned: false,
     };
-    signs.set(zone, created);
+    states.set(zone, created);
     return created;
   };
 
@@ -72,43 +82,46 @@
     withinMillis: number,
   ): boolean => millis !== undefined && nowMillis() - millis < withinMillis;
 
-  const seemsCutOff = ({heardMillis, silentMillis}: ZoneSigns): boolean => {
-    const silent = [...silentMillis.values()].filter(millis =>
-      isWithin(millis, SILENT_MILLIS),
+  const isLikelyPartitioned = ({
+    receivedMillis,
+    unansweredMillis,
+  }: ZoneState): boolean => {
+    const recent = [...unansweredMillis.values()].filter(millis =>
+      isWithin(millis, UNRESPONSIVE_MILLIS),
     );
-    if (silent.length < SILENT_HOSTS_COUNT) return false;
-    return heardMillis < Math.min(...silent);
+    if (recent.length < UNRESPONSIVE_HOSTS_COUNT) return false;
+    return receivedMillis < Math.min(...recent);
   };
 
   return {
     recordReceived: zone => {
-      const known = signsOf(zone);
-      known.heardMillis = nowMillis();
-      if (known.isCutOff) known.silentMillis.clear();
-      known.isCutOff = false;
+      const state = stateOf(zone);
+      state.receivedMillis = nowMillis();
+      if (state.isPartitioned) state.unansweredMillis.clear();
+      state.isPartitioned = false;
     },
     recordTimeout: ({zone, hostKey}) => {
-      const known = signsOf(zone);
-      known.silentMillis.set(hostKey, nowMillis());
-      known.isCutOff ||= seemsCutOff(known);
+      const state = stateOf(zone);
+      state.unansweredMillis.set(hostKey, nowMillis());
+      state.isPartitioned ||= isLikelyPartitioned(state);
     },
     recordClosed: ({zone, hostKey}) => {
-      const known = signsOf(zone);
-      known.heardMillis = nowMillis();
-      known.closedMillis.set(hostKey, nowMillis());
-      known.isCutOff = false;
+      const state = stateOf(zone);
+      state.receivedMillis = nowMillis();
+      state.closedMillis.set(hostKey, nowMillis());
+      state.isPartitioned = false;
     },
     hasRecentFailure: ({zone, hostKey}) => {
-      const known = signs.get(zone);
-      if (known === undefined) return false;
-      const {silentMillis, closedMillis} = known;
+      const state = states.get(zone);
+      if (state === undefined) return false;
+      const {unansweredMillis, closedMillis} = state;
       return (
-        isWithin(silentMillis.get(hostKey), SILENT_MILLIS) ||
+        isWithin(unansweredMillis.get(hostKey), UNRESPONSIVE_MILLIS) ||
         isWithin(closedMillis.get(hostKey), CLOSED_MILLIS)
       );
     },
-    isPartitioned: zone => signs.get(zone)?.isCutOff ?? false,
+    isPartitioned: zone => states.get(zone)?.isPartitioned ?? false,
     sinceReceivedMillis: zone =>
-      nowMillis() - (signs.get(zone)?.heardMillis ?? -Infinity),
+      nowMillis() - (states.get(zone)?.receivedMillis ?? -Infinity),
   };
 }
--- a/test/unit/process/quota/coordinator_chooser.test.ts
+++ b/test/unit/process/quota/coordinator_chooser.test.ts
@@ -13,25 +13,25 @@
   (_, index) => `org${String(index)}`,
 );
 
-function createChoice(ownHostKey: string, hosts = HOSTS) {
+function createChooser(ownHostKey: string, hosts = HOSTS) {
   const nowMillis = () => 0;
   const reachability = createZoneReachability(nowMillis);
-  const choice = createCoordinatorChooser({
+  const chooser = createCoordinatorChooser({
     hosts: () => hosts,
     ownHostKey,
     reachability,
     nowMillis,
     random: () => 0.5,
   });
-  return {choice, reachability};
+  return {chooser, reachability};
 }
 
 function chosenBy(ownHostKey: string, hosts = HOSTS): readonly string[] {
-  const {choice} = createChoice(ownHostKey, hosts);
-  return ORGANISATIONS.map(name => choice.choose(name)?.hostKey ?? 'none');
+  const {chooser} = createChooser(ownHostKey, hosts);
+  return ORGANISATIONS.map(name => chooser.choose(name)?.hostKey ?? 'none');
 }
 
-test('all nodes choose the same coordinators, spread over the fleet', t => {
+test('all nodes choose the same coordinators, distributed over the fleet', t => {
   const chosen = chosenBy('host-0');
   t.deepEqual(chosenBy('host-7'), chosen);
   t.deepEqual(chosenBy('host-7', [...HOSTS].reverse()), chosen);
@@ -51,21 +51,21 @@
   }
 });
 
-test('nodes of a zone that is cut off are passed over, and left out of what is reached', t => {
-  const {choice, reachability} = createChoice('host-0');
-  t.is(choice.reachableRatio(), 1);
+test('nodes of a partitioned zone are skipped and do not count as reachable', t => {
+  const {chooser, reachability} = createChooser('host-0');
+  t.is(chooser.reachableRatio(), 1);
   for (const index of [1, 4]) reachability.recordTimeout(HOSTS[index]!);
   t.true(reachability.isPartitioned('zone-1'));
-  t.is(choice.reachableRatio(), 8 / 12);
+  t.is(chooser.reachableRatio(), 8 / 12);
   for (const name of ORGANISATIONS) {
-    t.not(choice.choose(name)?.zone, 'zone-1');
+    t.not(chooser.choose(name)?.zone, 'zone-1');
   }
-  t.is(choice.probeTargets('zone-1').length, 2);
+  t.is(chooser.probeTargets('zone-1').length, 2);
 });
 
-test('a node alone is its own coordinator', t => {
-  const {choice, reachability} = createChoice('host-0');
+test('an isolated node is its own coordinator', t => {
+  const {chooser, reachability} = createChooser('host-0');
   for (const host of HOSTS.slice(1)) reachability.recordTimeout(host);
-  t.is(choice.choose('org1')?.hostKey, 'host-0');
-  t.is(choice.reachableRatio(), 1 / 12);
+  t.is(chooser.choose('org1')?.hostKey, 'host-0');
+  t.is(chooser.reachableRatio(), 1 / 12);
 });
--- a/test/unit/process/quota/quota_coordinator.test.ts
+++ b/test/unit/process/quota/quota_coordinator.test.ts
@@ -12,10 +12,10 @@
     nowMillis: () => now,
   });
   now += 10_000;
-  const pass = (millis: number): void => {
+  const advance = (millis: number): void => {
     now += millis;
   };
-  return {coordinator, pass};
+  return {coordinator, advance};
 }
 
 function report(
@@ -32,7 +32,7 @@
   };
 }
 
-test('a report that comes twice counts once', t => {
+test('a duplicate report counts once', t => {
   const {coordinator} = createFixture();
   const first = coordinator.receive(report(1, 12));
   t.true((first[0]?.returnMillis ?? 0) > 0);
@@ -42,20 +42,20 @@
   t.is(stale[0]?.returnMillis, first[0]?.returnMillis);
 });
 
-test('what another coordinator confirmed meanwhile counts here no more', t => {
-  const {coordinator, pass} = createFixture();
+test('requests that another coordinator has confirmed meanwhile do not count', t => {
+  const {coordinator, advance} = createFixture();
   coordinator.receive(report(1, 5));
-  pass(1000);
+  advance(1000);
   const [allowance] = coordinator.receive(report(2, 105, 2));
   t.is(allowance?.returnMillis, 0);
 });
 
 test('debt is paid back before anything is admitted', t => {
-  const {coordinator, pass} = createFixture();
+  const {coordinator, advance} = createFixture();
   const [overdrawn] = coordinator.receive(report(1, 40));
   t.deepEqual(overdrawn?.admittedRatios[0], 0);
   t.true((overdrawn?.returnMillis ?? 0) >= 2900);
-  pass(3100);
+  advance(3100);
   const [paid] = coordinator.receive(report(2, 40, 0));
   t.is(paid?.returnMillis, 0);
 });
--- a/test/unit/process/quota/quota_fleet.test.ts
+++ b/test/unit/process/quota/quota_fleet.test.ts
@@ -1,6 +1,6 @@
 /**
- * Quotas of organisations over whole fleets: no window runs more than is tolerated,
- * whatever happens, and what is within a quota is served.
+ * Quotas of organisations over whole fleets: no window exceeds the tolerated
+ * number of requests under any failure, and requests within a quota are served.
  */
 import test from 'ava';
 import type {QuotaOutcome} from '../../../fakes/quota_replay.js';
@@ -36,7 +36,7 @@
 for (const fleet of SMALL_FLEETS) {
   const {nodesCount, ratePerSecond} = fleet;
   const title = `${String(nodesCount)} nodes, ${String(ratePerSecond)} a second`;
-  test(`no window runs more than the quota tolerates: ${title}`, async t => {
+  test(`no window exceeds what the quota tolerates: ${title}`, async t => {
     for (const name of NAMES) {
       const {worstRatio} = await replay(name, fleet);
       t.true(worstRatio <= 1, `${name}: ${worstRatio.toFixed(3)}`);
@@ -52,14 +52,14 @@
   ['surge with one zone cut off', 830, 12],
 ];
 
-test('no window runs more than the quota tolerates: large fleets', async t => {
+test('no window exceeds what the quota tolerates: large fleets', async t => {
   for (const [name, nodesCount, ratePerSecond] of LARGE_FLEETS) {
     const {worstRatio} = await replay(name, {nodesCount, ratePerSecond});
     t.true(worstRatio <= 1, `${name}: ${worstRatio.toFixed(3)}`);
   }
 });
 
-test('what is within a quota is served', async t => {
+test('requests within a quota are served', async t => {
   for (const fleet of SMALL_FLEETS) {
     for (const name of ['usual', 'surge just to the limit'] as const) {
       const {servedRatio} = await replay(name, fleet);
@@ -68,7 +68,7 @@
   }
 });
 
-test('at its quota an organisation has its urgent requests served first', async t => {
+test('an organisation at its quota has its urgent requests served first', async t => {
   const {urgentRatio, otherRatio} = await replay('surge at all nodes', {
     nodesCount: 57,
     ratePerSecond: 338,
@@ -76,7 +76,7 @@
   t.true(urgentRatio > 4 * otherRatio);
 });
 
-test('messages about quotas stay a small part of what a node may send', async t => {
+test("quota messages stay a small part of a node's permitted traffic", async t => {
   for (const fleet of SMALL_FLEETS) {
     const {bytesPerSecond} = await replay('surge at all nodes', fleet);
     t.true(bytesPerSecond < 1000, bytesPerSecond.toFixed(0));
--- a/test/unit/process/quota/quota_limiter.test.ts
+++ b/test/unit/process/quota/quota_limiter.test.ts
@@ -32,57 +32,57 @@
   };
 }
 
-function createGate(nodesCount = 100) {
+function createLimiter(nodesCount = 100) {
   let now = 0;
-  const gate = createQuotaLimiter({
+  const limiter = createQuotaLimiter({
     bound: () => ({windowMillis: 5000, overageRatio: 0.25, slackCount: 20}),
     nodesCount: () => nodesCount,
     nowMillis: () => now,
     random: () => 0.5,
   });
-  const pass = (millis: number): void => {
+  const advance = (millis: number): void => {
     now += millis;
   };
-  return {gate, pass};
+  return {limiter, advance};
 }
 
 test('an organisation without a quota is admitted and never reported', t => {
-  const {gate} = createGate();
+  const {limiter} = createLimiter();
   const unlimited = {...LARGE, quota: undefined};
-  t.is(gate.check(unlimited, 0).kind, 'admitted');
-  gate.recordRan(unlimited);
-  t.deepEqual(gate.takeUses(ALL), []);
+  t.is(limiter.check(unlimited, 0).kind, 'admitted');
+  limiter.recordRan(unlimited);
+  t.deepEqual(limiter.takeDueUsages(ALL), []);
 });
 
-test('a node asks first where one request at each node would matter', t => {
-  const {gate} = createGate();
-  t.is(gate.check(LARGE, 0).kind, 'admitted');
-  t.is(gate.check(SMALL, 0).kind, 'unknown');
+test('a node requests an allowance first where one request at each node would matter', t => {
+  const {limiter} = createLimiter();
+  t.is(limiter.check(LARGE, 0).kind, 'admitted');
+  t.is(limiter.check(SMALL, 0).kind, 'unknown');
 });
 
-test('requests that were taken back use up no quota', t => {
-  const {gate} = createGate();
+test('requests that did not run use up no quota', t => {
+  const {limiter} = createLimiter();
   for (let sent = 0; sent < 5; sent += 1) {
-    gate.check(LARGE, 0);
-    gate.recordRan(LARGE);
+    limiter.check(LARGE, 0);
+    limiter.recordRan(LARGE);
   }
-  gate.recordNotRun(LARGE);
-  gate.recordNotRun(LARGE);
-  const [use] = gate.takeUses(ALL);
+  limiter.recordNotRun(LARGE);
+  limiter.recordNotRun(LARGE);
+  const [use] = limiter.takeDueUsages(ALL);
   t.like(use, {ranCount: 3, unconfirmedCount: 3});
-  gate.confirm([use!], [allowance('acme', [])]);
-  gate.recordNotRun(LARGE);
-  t.like(gate.takeUses(ALL)[0], {ranCount: 2, unconfirmedCount: -1});
+  limiter.confirm([use!], [allowance('acme', [])]);
+  limiter.recordNotRun(LARGE);
+  t.like(limiter.takeDueUsages(ALL)[0], {ranCount: 2, unconfirmedCount: -1});
 });
 
-test('shares are kept for each rank, and a refusal tells what was known', t => {
-  const {gate, pass} = createGate();
-  gate.check(LARGE, 0);
-  gate.confirm(gate.takeUses(ALL), [allowance('acme', [1, 0.5, 0])]);
+test('admitted ratios apply by rank, and a refusal contains the cached allowance', t => {
+  const {limiter, advance} = createLimiter();
+  limiter.check(LARGE, 0);
+  limiter.confirm(limiter.takeDueUsages(ALL), [allowance('acme', [1, 0.5, 0])]);
   const admittedOf = (rank: number): number => {
     let count = 0;
     for (let sent = 0; sent < 100; sent += 1) {
-      if (gate.check(LARGE, rank).kind === 'admitted') count += 1;
+      if (limiter.check(LARGE, rank).kind === 'admitted') count += 1;
     }
     return count;
   };
@@ -90,42 +90,42 @@
   t.is(admittedOf(1), 50);
   t.is(admittedOf(2), 0);
   t.is(admittedOf(7), 0);
-  pass(300);
-  const verdict = gate.check(LARGE, 2);
-  t.like(verdict, {
+  advance(300);
+  const result = limiter.check(LARGE, 2);
+  t.like(result, {
     kind: 'over-quota',
-    known: {organisation: 'acme', returnMillis: 700, ageMillis: 300},
+    allowance: {organisation: 'acme', returnMillis: 700, ageMillis: 300},
   });
 });
 
-test('what was allowed last is followed while the coordinator does not answer', t => {
-  const {gate, pass} = createGate();
-  gate.check(SMALL, 0);
-  gate.confirm(
-    [gate.takeUse('globex', SMALL.quota!)],
+test('the last allowance stays in force while the coordinator does not respond', t => {
+  const {limiter, advance} = createLimiter();
+  limiter.check(SMALL, 0);
+  limiter.confirm(
+    [limiter.takeUsage('globex', SMALL.quota!)],
     [allowance('globex', [0])],
   );
-  pass(5000);
-  t.is(gate.check(SMALL, 0).kind, 'unknown');
-  t.is(gate.checkWithoutCoordinator(SMALL, 0).kind, 'over-quota');
-  t.is(gate.limited().length, 1);
+  advance(5000);
+  t.is(limiter.check(SMALL, 0).kind, 'unknown');
+  t.is(limiter.checkWithoutCoordinator(SMALL, 0).kind, 'over-quota');
+  t.is(limiter.limited().length, 1);
 });
 
 test('a coordinator that has just taken over leaves the last allowance in force', t => {
-  const {gate} = createGate();
-  gate.check(LARGE, 0);
-  gate.confirm(gate.takeUses(ALL), [allowance('acme', [0])]);
+  const {limiter} = createLimiter();
+  limiter.check(LARGE, 0);
+  limiter.confirm(limiter.takeDueUsages(ALL), [allowance('acme', [0])]);
   const settling = {...allowance('acme', []), isSettling: true};
-  gate.confirm(gate.takeUses(ALL), [settling]);
-  t.is(gate.check(LARGE, 0).kind, 'over-quota');
+  limiter.confirm(limiter.takeDueUsages(ALL), [settling]);
+  t.is(limiter.check(LARGE, 0).kind, 'over-quota');
 });
 
-test('a quiet organisation is no longer kept', t => {
-  const {gate, pass} = createGate();
-  gate.check(LARGE, 0);
-  gate.confirm(gate.takeUses(ALL), [allowance('acme', [0])]);
-  pass(20_000);
-  gate.expire();
-  t.deepEqual(gate.limited(), []);
-  t.deepEqual(gate.takeUses(ALL), []);
+test('an inactive organisation is removed', t => {
+  const {limiter, advance} = createLimiter();
+  limiter.check(LARGE, 0);
+  limiter.confirm(limiter.takeDueUsages(ALL), [allowance('acme', [0])]);
+  advance(20_000);
+  limiter.expire();
+  t.deepEqual(limiter.limited(), []);
+  t.deepEqual(limiter.takeDueUsages(ALL), []);
 });
--- a/test/unit/process/quota/zone_reachability.test.ts
+++ b/test/unit/process/quota/zone_reachability.test.ts
@@ -6,41 +6,41 @@
   zone: 'zone-b',
 });
 
-test('a zone counts as cut off when several of its nodes are silent, until one is heard', t => {
+test('a zone counts as partitioned when several of its nodes do not respond, until a message arrives', t => {
   let now = 0;
-  const reach = createZoneReachability(() => now);
-  reach.recordReceived('zone-b');
+  const reachability = createZoneReachability(() => now);
+  reachability.recordReceived('zone-b');
   now = 1000;
-  reach.recordTimeout(host(1));
-  t.false(reach.isPartitioned('zone-b'));
-  reach.recordTimeout(host(2));
-  t.true(reach.isPartitioned('zone-b'));
+  reachability.recordTimeout(host(1));
+  t.false(reachability.isPartitioned('zone-b'));
+  reachability.recordTimeout(host(2));
+  t.true(reachability.isPartitioned('zone-b'));
   now = 60_000;
-  t.true(reach.isPartitioned('zone-b'));
-  reach.recordReceived('zone-b');
-  t.false(reach.isPartitioned('zone-b'));
-  t.false(reach.hasRecentFailure(host(1)));
+  t.true(reachability.isPartitioned('zone-b'));
+  reachability.recordReceived('zone-b');
+  t.false(reachability.isPartitioned('zone-b'));
+  t.false(reachability.hasRecentFailure(host(1)));
 });
 
-test('nodes that have ended do not make their zone cut off', t => {
+test('nodes that have exited do not make their zone count as partitioned', t => {
   let now = 0;
-  const reach = createZoneReachability(() => now);
-  reach.recordClosed(host(1));
-  reach.recordClosed(host(2));
-  reach.recordClosed(host(3));
-  t.false(reach.isPartitioned('zone-b'));
-  t.true(reach.hasRecentFailure(host(1)));
+  const reachability = createZoneReachability(() => now);
+  reachability.recordClosed(host(1));
+  reachability.recordClosed(host(2));
+  reachability.recordClosed(host(3));
+  t.false(reachability.isPartitioned('zone-b'));
+  t.true(reachability.hasRecentFailure(host(1)));
   now = 500;
-  t.false(reach.hasRecentFailure(host(1)));
+  t.false(reachability.hasRecentFailure(host(1)));
 });
 
-test('a silent node in a zone of which others are heard is passed over alone', t => {
+test('only the node that does not respond is skipped if others in its zone do', t => {
   let now = 0;
-  const reach = createZoneReachability(() => now);
-  reach.recordTimeout(host(1));
+  const reachability = createZoneReachability(() => now);
+  reachability.recordTimeout(host(1));
   now = 10;
-  reach.recordReceived('zone-b');
-  reach.recordTimeout(host(2));
-  t.false(reach.isPartitioned('zone-b'));
-  t.true(reach.hasRecentFailure(host(2)));
+  reachability.recordReceived('zone-b');
+  reachability.recordTimeout(host(2));
+  t.false(reachability.isPartitioned('zone-b'));
+  t.true(reachability.hasRecentFailure(host(2)));
 });
