--- a/src/process/log/log_output.ts
+++ b/src/process/log/log_output.ts
@@ -1,33 +1,33 @@
 /**
- * Standard output for log lines, written without ever waiting for its reader.
+ * Non-blocking standard output for log lines.
  */
 import {fstatSync, write} from 'node:fs';
 import {Socket} from 'node:net';
 
-/** Takes lines, and drops them while its reader is behind. */
+/** Writes lines, and drops them while the reader is too slow. */
 export interface LogOutput {
   write(line: string): void;
-  /** Lines dropped since the process began. */
+  /** Lines dropped since the process started. */
   readonly droppedCount: number;
 }
 
-const STANDARD_OUTPUT = 1;
+const STDOUT_FD = 1;
 
-/** Most that waits in memory for a slow reader: some thousand lines. */
-const BUFFER_BYTES = 512 * 1024;
+/** Maximum buffer for a slow reader: a few thousand lines. */
+const MAX_BUFFER_BYTES = 512 * 1024;
 
-/** Lines are gathered for this long, so that a busy node writes once. */
-const GATHER_MILLIS = 50;
+/** Batching delay, so that a busy node makes one write for many lines. */
+const FLUSH_DELAY_MILLIS = 50;
 
 type Sink = (bytes: Buffer, done: () => void) => void;
 
 /**
- * Opens standard output. Writes to a pipe block in Node.js' own stream: a
- * stopped reader would stop the node.
+ * Opens standard output. The built-in stream of Node.js blocks on writes to a
+ * pipe, so a stalled reader would stall the node.
  */
 export function openLogOutput(): LogOutput {
   const sink = openSink();
-  let pending: Buffer[] = [];
+  let pendingLines: Buffer[] = [];
   let pendingBytes = 0;
   let writingBytes = 0;
   let droppedCount = 0;
@@ -35,9 +35,9 @@
 
   const flush = (): void => {
     timer = undefined;
-    if (writingBytes > 0 || pending.length === 0) return;
-    const bytes = Buffer.concat(pending);
-    pending = [];
+    if (writingBytes > 0 || pendingLines.length === 0) return;
+    const bytes = Buffer.concat(pendingLines);
+    pendingLines = [];
     pendingBytes = 0;
     writingBytes = bytes.length;
     sink(bytes, () => {
@@ -52,31 +52,31 @@
     },
     write: line => {
       const bytes = Buffer.from(line);
-      if (pendingBytes + writingBytes + bytes.length > BUFFER_BYTES) {
+      if (pendingBytes + writingBytes + bytes.length > MAX_BUFFER_BYTES) {
         droppedCount += 1;
         return;
       }
-      pending.push(bytes);
+      pendingLines.push(bytes);
       pendingBytes += bytes.length;
-      timer ??= setTimeout(flush, GATHER_MILLIS).unref();
+      timer ??= setTimeout(flush, FLUSH_DELAY_MILLIS).unref();
     },
   };
 }
 
 function openSink(): Sink {
-  const kind = fstatSync(STANDARD_OUTPUT);
-  if (kind.isFIFO() || kind.isSocket()) return openSocketSink();
+  const stats = fstatSync(STDOUT_FD);
+  if (stats.isFIFO() || stats.isSocket()) return openSocketSink();
   return writeToFile;
 }
 
 function openSocketSink(): Sink {
   const socket = new Socket({
-    fd: STANDARD_OUTPUT,
+    fd: STDOUT_FD,
     readable: false,
     writable: true,
   });
   socket.unref();
-  // A reader of the log that went away must not end a node that serves.
+  // A reader that closes the pipe must not terminate the node.
   socket.on('error', () => undefined);
   return (bytes, done) => {
     if (socket.destroyed) {
@@ -90,5 +90,5 @@
 }
 
 function writeToFile(bytes: Buffer, done: () => void): void {
-  write(STANDARD_OUTPUT, bytes, done);
+  write(STDOUT_FD, bytes, done);
 }
--- a/src/process/log/node_metrics.ts
+++ b/src/process/log/node_metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counters and latency histograms of a node, served as text.
+ * Counters, gauges and latency histograms of a node.
  */
 import {Counter, Gauge, Registry} from 'prom-client';
 import type {HopReason} from '../../protocol/hop_messages.js';
@@ -7,44 +7,44 @@
 
 /** Metrics of one node. */
 export interface NodeMetrics {
-  /** A request ended at the entry with a status and after a time. */
+  /** Records the response to a request at its entry node. */
   recordResponse(routeName: string, statusCode: number, millis: number): void;
   recordShed(service: string): void;
-  /** A request was refused since its organisation is over its quota. */
+  /** Records a request refused because its organisation is over its quota. */
   recordOverQuota(): void;
   recordRetry(reason: HopReason): void;
   recordRefusal(reason: HopReason): void;
   recordUnknownOutcome(reason: HopReason): void;
-  /** The own upstream was handed a request and says that it is another one. */
+  /**
+   * Records that the own upstream rejected a request as meant for another one.
+   */
   recordMisdirected(): void;
-  /** The own upstream crashed while it worked on requests. */
+  /** Records a crash of the own upstream with requests in progress. */
   recordUpstreamCrash(): void;
-  /** A request was refused because it crashes, or may crash, upstreams. */
+  /** Records a request refused because it crashes, or may crash, upstreams. */
   recordCrashRefusal(reason: string): void;
-  /** A request suspected of crashes was answered. */
+  /** Records that a request suspected of crashes got a response. */
   recordCrashClearance(): void;
-  /** A request entered, from the own upstream or from a client. */
-  recordEntered(isUpstreams: boolean): void;
+  /** Records a request received from the own upstream or from a client. */
+  recordEntered(isFromUpstream: boolean): void;
   recordStoreLost(): void;
-  /** The store came back from an older copy. */
+  /** Records that the store was restored from an older copy. */
   recordStoreRestored(): void;
-  /** A published document could not be used. */
+  /** Records a published document that cannot be used. */
   recordInvalidDocument(kind: DocumentKind): void;
-  /** A call to the store ended, by what came of it. */
+  /** Records the result of a call to the store. */
   recordStoreCall(result: string): void;
-  /** Another node sent changes of the documents. */
+  /** Records document changes received from another node. */
   recordRelayedChanges(): void;
-  /** Calls to the store so far, by what came of them. */
+  /** Calls to the store so far, by result. */
   storeCalls(): Readonly<Record<string, number>>;
   setGauge(name: GaugeName, value: number): void;
   /** All metrics in the Prometheus text format. */
   text(): Promise<string>;
 }
 
-/** Kinds of published documents. */
 export type DocumentKind = 'configuration' | 'upstream';
 
-/** Gauges. */
 export type GaugeName =
   | 'admission_level'
   | 'queue_length'
@@ -53,7 +53,10 @@
   | 'quarantined_requests'
   | 'known_upstreams';
 
-/** Upper bounds in milliseconds: the objectives of today's routes and between. */
+/**
+ * Upper bounds: the latency objectives of the current routes, and values
+ * between.
+ */
 const BUCKETS_MILLIS = [5, 10, 25, 50, 100, 200, 400, 800, 1500, 5000];
 
 const PREFIX = 'fulmarhollow_';
@@ -68,24 +71,26 @@
     labelNames: readonly T[],
   ): Counter<T> =>
     new Counter({name: `${PREFIX}${name}`, help, labelNames, registers});
-  const answers = createResponseTimes(
+  const responseTimes = createResponseTimes(
     `${PREFIX}answer_millis`,
     'Time from a request to its answer at the entry',
     BUCKETS_MILLIS,
   );
-  const sheds = counter('shed_total', 'Requests refused at the entry', [
+  const shedRequests = counter('shed_total', 'Requests refused at the entry', [
     'service',
   ]);
-  const overQuotas = counter(
+  const overQuotaRequests = counter(
     'over_quota_total',
     'Requests refused since their organisation is over its quota',
     [],
   );
   const retries = counter('retries_total', 'Requests sent again', ['reason']);
   const refusals = counter('refusals_total', 'Attempts not run', ['reason']);
-  const unknowns = counter('unknown_total', 'Attempts that may have run', [
-    'reason',
-  ]);
+  const unknownOutcomes = counter(
+    'unknown_total',
+    'Attempts that may have run',
+    ['reason'],
+  );
   const misdirected = counter(
     'misdirected_total',
     'Requests that the own upstream denies as meant for another one',
@@ -107,7 +112,7 @@
     [],
   );
   const enteredCounts = {upstream: 0, client: 0};
-  // Filled in when it is asked for: this one counts each request.
+  // Computed on collection, because it counts every request.
   new Counter({
     name: `${PREFIX}entered_total`,
     help: 'Requests by their sender',
@@ -121,7 +126,7 @@
     },
   });
   const storeLosses = counter('store_lost_total', 'Losses of the store', []);
-  const relayed = counter(
+  const relayedChanges = counter(
     'documents_relayed_total',
     'Changes of documents that other nodes told',
     [],
@@ -142,12 +147,12 @@
   const storeCallCounts: Record<string, number> = {};
   const gauges = new Map<GaugeName, Gauge>();
   return {
-    recordResponse: answers.record,
+    recordResponse: responseTimes.record,
     recordShed: service => {
-      sheds.inc({service});
+      shedRequests.inc({service});
     },
     recordOverQuota: () => {
-      overQuotas.inc();
+      overQuotaRequests.inc();
     },
     recordRetry: reason => {
       retries.inc({reason});
@@ -156,7 +161,7 @@
       refusals.inc({reason});
     },
     recordUnknownOutcome: reason => {
-      unknowns.inc({reason});
+      unknownOutcomes.inc({reason});
     },
     recordMisdirected: () => {
       misdirected.inc();
@@ -170,11 +175,11 @@
     recordCrashClearance: () => {
       crashClearances.inc();
     },
-    recordEntered: isUpstreams => {
-      enteredCounts[isUpstreams ? 'upstream' : 'client'] += 1;
+    recordEntered: isFromUpstream => {
+      enteredCounts[isFromUpstream ? 'upstream' : 'client'] += 1;
     },
     recordRelayedChanges: () => {
-      relayed.inc();
+      relayedChanges.inc();
     },
     recordStoreRestored: () => {
       storeRestores.inc();
@@ -197,6 +202,6 @@
       gauges.set(name, gauge);
       gauge.set(value);
     },
-    text: async () => `${await registry.metrics()}\n${answers.text()}\n`,
+    text: async () => `${await registry.metrics()}\n${responseTimes.text()}\n`,
   };
 }
--- a/src/process/log/response_times.ts
+++ b/src/process/log/response_times.ts
@@ -1,59 +1,59 @@
 /**
- * Histograms of the time to answers, by route and status.
+ * Histograms of response times, by route and status.
  *
- * Purpose: processor time of each answer. The metrics library builds an object
- * and a text of all labels for each observation; here it is two look-ups.
+ * Purpose: CPU time per response. The metrics library builds an object and a
+ * string of all labels for each observation; this implementation needs two
+ * lookups.
  */
 
-/** Times to answers. */
 export interface ResponseTimes {
   record(routeName: string, statusCode: number, millis: number): void;
   /** All histograms in the Prometheus text format. */
   text(): string;
 }
 
-interface Tally {
-  /** One for each bound, and one for what lies beyond them. */
+interface Histogram {
+  /** One count per bound, and one for values above all bounds. */
   readonly counts: number[];
   sumMillis: number;
 }
 
-/** Creates times of a name, with upper bounds in ascending order. */
+/** Creates the histograms of a metric, with upper bounds in ascending order. */
 export function createResponseTimes(
   name: string,
   help: string,
   boundsMillis: readonly number[],
 ): ResponseTimes {
-  const byRoute = new Map<string, Map<number, Tally>>();
+  const byRoute = new Map<string, Map<number, Histogram>>();
 
-  const tallyOf = (routeName: string, statusCode: number): Tally => {
+  const histogramOf = (routeName: string, statusCode: number): Histogram => {
     let byStatus = byRoute.get(routeName);
     if (byStatus === undefined) {
       byStatus = new Map();
       byRoute.set(routeName, byStatus);
     }
-    let tally = byStatus.get(statusCode);
-    if (tally === undefined) {
-      tally = {counts: [...boundsMillis.map(() => 0), 0], sumMillis: 0};
-      byStatus.set(statusCode, tally);
+    let histogram = byStatus.get(statusCode);
+    if (histogram === undefined) {
+      histogram = {counts: [...boundsMillis.map(() => 0), 0], sumMillis: 0};
+      byStatus.set(statusCode, histogram);
     }
-    return tally;
+    return histogram;
   };
 
   return {
     record: (routeName, statusCode, millis) => {
-      const tally = tallyOf(routeName, statusCode);
+      const histogram = histogramOf(routeName, statusCode);
       let index = 0;
       while (millis > (boundsMillis[index] ?? Infinity)) index += 1;
-      tally.counts[index] = (tally.counts[index] ?? 0) + 1;
-      tally.sumMillis += millis;
+      histogram.counts[index] = (histogram.counts[index] ?? 0) + 1;
+      histogram.sumMillis += millis;
     },
     text: () => {
       const lines = [`# HELP ${name} ${help}`, `# TYPE ${name} histogram`];
       for (const [route, byStatus] of byRoute) {
-        for (const [status, tally] of byStatus) {
+        for (const [status, histogram] of byStatus) {
           const labels = `route="${escapeLabel(route)}",status="${String(status)}"`;
-          lines.push(...linesOf(name, labels, boundsMillis, tally));
+          lines.push(...formatHistogram(name, labels, boundsMillis, histogram));
         }
       }
       return lines.join('\n');
@@ -61,11 +61,11 @@
   };
 }
 
-function linesOf(
+function formatHistogram(
   name: string,
   labels: string,
   boundsMillis: readonly number[],
-  {counts, sumMillis}: Tally,
+  {counts, sumMillis}: Histogram,
 ): readonly string[] {
   const lines: string[] = [];
   let count = 0;
--- a/test/unit/process/log/node_metrics.test.ts
+++ b/test/unit/process/log/node_metrics.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {createNodeMetrics} from '../../../../src/process/log/node_metrics.js';
 
-test('answers are told by route and status, each bound with all below it', async t => {
+test('response times are reported by route and status, in cumulative buckets', async t => {
   const metrics = createNodeMetrics();
   for (const millis of [5, 5.1, 60, 9000]) {
     metrics.recordResponse('browse', 200, millis);
