--- a/src/process/stop/stop_plan.ts
+++ b/src/process/stop/stop_plan.ts
@@ -1,56 +1,57 @@
 /**
- * What a node that stops still takes, and how long each step of its stop may
- * last.
+ * Determines which requests a stopping node still accepts, and how long each
+ * phase of the stop may last.
  *
- * Load pattern: planned restarts of many hosts of one availability zone. Their
- * clients find no other host and keep coming, so that a node which takes what
- * comes is at work until its grace ends and leaves requests unanswered. Clients
- * have some seconds to learn that this host is not ready; whoever comes later is
- * told at once that the request has not run and when to come back. Calls of the
- * own upstream are taken until what is at work is given up: without them that
- * would fail sooner, and after it nobody would be left to answer them.
+ * Load pattern: many hosts of one availability zone are restarted as planned.
+ * Their clients find no other host and keep sending, so a node that accepts
+ * every request is busy until its grace period ends and leaves requests
+ * unanswered. Clients get a few seconds to detect that this host is not ready;
+ * later requests are rejected immediately as not run, with a time to retry
+ * after. Calls of the own upstream are accepted until the requests in progress
+ * are abandoned: without these calls the requests would fail earlier, and
+ * afterwards no process would be left to answer the calls.
  */
 
-/** A request that comes in. */
 export interface IncomingRequest {
-  /** A call that the own upstream makes for a request that it works on. */
+  /** A call that the own upstream makes for a request it is processing. */
   readonly isFromUpstream: boolean;
 }
 
-/** The stop of one node. */
+/** Phases of the stop of one node. */
 export interface StopPlan {
   readonly isStopping: boolean;
-  /** Until when requests of clients are taken. */
+  /** Time until which requests of clients are accepted. */
   readonly acceptingUntilMillis: number;
-  /** Until when what was taken may be at work. */
+  /** Time until which accepted requests may be in progress. */
   readonly finishingUntilMillis: number;
-  /** When the process must have ended. */
+  /** Time by which the process must have exited. */
   readonly endMillis: number;
   begin(graceMillis: number): void;
   accepts(request: IncomingRequest): boolean;
 }
 
 /**
- * Time that clients take to learn that this host is not ready any more: two
- * looks, a second apart, and the answer to the second.
+ * Time that clients need to detect that this host is no longer ready: two
+ * checks, one second apart, and the response to the second.
  */
-const NOTICE_MILLIS = 2300;
+const CLIENT_NOTICE_MILLIS = 2300;
 
-/** Part of the grace period that what was taken has at least. */
-const FINISHING_RATIO = 0.4;
+/** Minimum share of the grace period left for accepted requests to finish. */
+const MIN_FINISHING_RATIO = 0.4;
 
 /**
- * Last part of the grace period, for final answers to be written, and of that
- * the last part, for the process to end. On a busy host with half a core timers
- * come some hundred milliseconds late, and a process that is killed answers
- * nobody; more than a sixth would give up what could still be answered.
+ * Final share of the grace period, reserved for writing the last responses; the
+ * end of it is reserved for the process to exit. On a busy host with half a
+ * core, timers fire a few hundred milliseconds late, and a killed process sends
+ * no responses; reserving more than a sixth would abandon requests that could
+ * still be answered.
  */
-const ANSWERING = {ratio: 1 / 8, mostMillis: 750};
-const ENDING = {ratio: 1 / 12, mostMillis: 500};
+const FINAL_RESPONSES = {ratio: 1 / 8, maxMillis: 750};
+const PROCESS_EXIT = {ratio: 1 / 12, maxMillis: 500};
 
-/** Creates the plan of a node that runs. */
+/** Creates the plan of a running node. */
 export function createStopPlan(nowMillis: () => number): StopPlan {
-  let takingUntilMillis = Infinity;
+  let acceptingUntilMillis = Infinity;
   let finishingUntilMillis = Infinity;
   let endMillis = Infinity;
   return {
@@ -58,7 +59,7 @@
       return endMillis !== Infinity;
     },
     get acceptingUntilMillis() {
-      return takingUntilMillis;
+      return acceptingUntilMillis;
     },
     get finishingUntilMillis() {
       return finishingUntilMillis;
@@ -68,19 +69,23 @@
     },
     begin: graceMillis => {
       const now = nowMillis();
-      const latestMillis = graceMillis * (1 - FINISHING_RATIO);
-      takingUntilMillis = now + Math.min(NOTICE_MILLIS, latestMillis);
-      finishingUntilMillis = now + graceMillis - partOf(graceMillis, ANSWERING);
-      endMillis = now + graceMillis - partOf(graceMillis, ENDING);
+      const maxAcceptingMillis = graceMillis * (1 - MIN_FINISHING_RATIO);
+      acceptingUntilMillis =
+        now + Math.min(CLIENT_NOTICE_MILLIS, maxAcceptingMillis);
+      finishingUntilMillis =
+        now + graceMillis - cappedShareMillis(graceMillis, FINAL_RESPONSES);
+      endMillis =
+        now + graceMillis - cappedShareMillis(graceMillis, PROCESS_EXIT);
     },
     accepts: ({isFromUpstream}) =>
-      nowMillis() < (isFromUpstream ? finishingUntilMillis : takingUntilMillis),
+      nowMillis() <
+      (isFromUpstream ? finishingUntilMillis : acceptingUntilMillis),
   };
 }
 
-function partOf(
+function cappedShareMillis(
   graceMillis: number,
-  part: {readonly ratio: number; readonly mostMillis: number},
+  share: {readonly ratio: number; readonly maxMillis: number},
 ): number {
-  return Math.min(graceMillis * part.ratio, part.mostMillis);
+  return Math.min(graceMillis * share.ratio, share.maxMillis);
 }
