--- a/src/process/settings/format_endpoint.ts
+++ b/src/process/settings/format_endpoint.ts
@@ -1,9 +1,9 @@
 /**
- * One text for an address and port, as a key and in messages.
+ * Formats an endpoint for use as a key and in messages.
  */
 import type {Endpoint} from './node_settings.js';
 
-/** The text `address:port`. */
+/** Returns `address:port`. */
 export function formatEndpoint({address, port}: Endpoint): string {
   return `${address}:${String(port)}`;
 }
--- a/src/process/settings/node_settings.ts
+++ b/src/process/settings/node_settings.ts
@@ -1,48 +1,47 @@
 /**
- * Settings of one node: itself and its surroundings.
+ * Settings of one node and its environment.
  */
 
-/** Address and port to bind or to connect to. */
+/** Address and port to bind or connect to. */
 export interface Endpoint {
   readonly address: string;
   readonly port: number;
 }
 
-/** Bound on the repeats that one service receives from the whole fleet. */
+/** Limit on the retries that one service receives from the whole fleet. */
 export interface RepeatBound {
-  /** Repeats for each request, within the window. */
+  /** Retries per request within the window. */
   readonly ratio: number;
   readonly windowMillis: number;
-  /** Repeats of the whole fleet on top, for each window. */
+  /** Additional retries of the whole fleet per window. */
   readonly slackCount: number;
 }
 
-/** How far the quotas of organisations may be exceeded. */
+/** Limits by which organisations may exceed their quotas. */
 export interface QuotaBound {
   /** Time over which requests are counted. */
   readonly windowMillis: number;
-  /** Part of a quota that may run on top of it within the window. */
+  /** Fraction of a quota that may run in addition to it within the window. */
   readonly overageRatio: number;
-  /** Requests that may run on top of both. */
+  /** Requests that may run in addition to both. */
   readonly slackCount: number;
 }
 
-/** Settings of a node. */
 export interface NodeSettings {
   readonly nodeName: string;
   readonly zone: string;
   readonly region: string;
-  /** The own host, as entries of upstreams identify it. */
+  /** Key of this host, as used in the entries of upstreams. */
   readonly hostKey: string;
-  /** Where clients of this host and its upstream send requests. */
+  /** Endpoint for requests of the clients of this host and of its upstream. */
   readonly outbound: Endpoint;
-  /** Where the upstream sends its calls, if apart from its host's clients. */
+  /** Endpoint for the calls of the upstream, if separate from the clients'. */
   readonly local?: Endpoint;
-  /** Where other nodes send requests for the upstream of this host. */
+  /** Endpoint for requests of other nodes to the upstream of this host. */
   readonly inbound: Endpoint;
-  /** Where only readiness is asked for, if apart from `operators`. */
+  /** Endpoint for readiness checks only, if separate from `operators`. */
   readonly ready: Endpoint | undefined;
-  /** Where operators read metrics and state. */
+  /** Endpoint for operators to read metrics and state. */
   readonly operators: Endpoint;
   readonly upstream: Endpoint;
   readonly service: string;
@@ -50,9 +49,12 @@
   readonly store: Endpoint;
   /** Time from SIGTERM until the process is killed. */
   readonly graceMillis: number;
-  /** Interval at which upstreams write their entries, if it is known. */
+  /** Interval at which upstreams write their entries, if known. */
   readonly heartbeatMillis?: number | undefined;
-  /** Bound from the acknowledgement of a document to its effect at a node. */
+  /**
+   * Maximum time from the acknowledgement of a document to its effect on a
+   * node.
+   */
   readonly applyWithinMillis: number;
   readonly repeatBound: RepeatBound;
   readonly quotaBound: QuotaBound;
--- a/src/process/settings/read_settings_file.ts
+++ b/src/process/settings/read_settings_file.ts
@@ -8,7 +8,10 @@
 import type {SettingsParseResult} from './settings_file_schema.js';
 import {parseSettings} from './settings_file_schema.js';
 
-/** Reads and checks a settings file; a file that cannot be read is a problem. */
+/**
+ * Reads and validates a settings file; an unreadable file is reported as a
+ * problem.
+ */
 export function readSettingsFile(path: string): SettingsParseResult {
   let bytes: Uint8Array;
   try {
--- a/src/process/settings/settings_file.ts
+++ b/src/process/settings/settings_file.ts
@@ -1,27 +1,27 @@
 /**
- * Settings file of a node that runs by the product's own documents.
+ * Contents of the settings file of a node that uses the project's own
+ * documents.
  */
 
-/** An address a listener binds to; port 0 lets the system choose. */
+/** Address that a listener binds to; port 0 selects a free port. */
 export interface ListenAddress {
   /** IP address. */
   readonly address: string;
   readonly port: number;
 }
 
-/** All listeners of one node. */
+/** Listeners of one node. */
 export interface ListenSettings {
-  /** Requests of callers of the availability zone. */
+  /** Requests of callers in the availability zone. */
   readonly caller: ListenAddress;
   /** Requests of the upstream on this host; loopback only. */
   readonly local: ListenAddress;
   /** Requests of other nodes. */
   readonly peer: ListenAddress;
-  /** Reads by operators. */
+  /** Read requests of operators. */
   readonly admin: ListenAddress;
 }
 
-/** The whole settings file. */
 export interface SettingsFile {
   readonly hostName: string;
   readonly service: string;
@@ -30,8 +30,8 @@
   readonly listen: ListenSettings;
   /** The upstream on this host. */
   readonly upstream: ListenAddress;
-  /** The configuration service; `http://address:port`. */
+  /** URL of the configuration service: `http://address:port`. */
   readonly platformUrl: string;
-  /** Time from SIGTERM until the process ends at the latest. */
+  /** Maximum time from SIGTERM until the process exits. */
   readonly graceMillis: number;
 }
--- a/src/process/settings/settings_file_schema.ts
+++ b/src/process/settings/settings_file_schema.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a settings file whole and reports every problem in one go.
+ * Validates a settings file and reports all of its problems together.
  */
 import {isIP, isIPv4} from 'node:net';
 import * as Effect from 'effect/Effect';
@@ -11,15 +11,15 @@
 import {nameField, integerField} from '../../version/schema_fields.js';
 import type {ListenAddress, SettingsFile} from './settings_file.js';
 
-/** What became of a settings file. */
+/** Result of parsing a settings file. */
 export type SettingsParseResult =
   | {readonly kind: 'parsed'; readonly settings: SettingsFile}
   | {readonly kind: 'invalid'; readonly problems: readonly Problem[]};
 
-const PORT_MAXIMUM = 65_535;
+const MAX_PORT = 65_535;
 const HOUR_MILLIS = 3_600_000;
 
-/** Grace period of process supervisors that name none. */
+/** Grace period of process supervisors that do not configure one. */
 const DEFAULT_GRACE_MILLIS = 10_000;
 
 const WILDCARD_ADDRESSES: ReadonlySet<string> = new Set(['0.0.0.0', '::']);
@@ -30,12 +30,12 @@
 
 const listenSchema = Schema.Struct({
   address: addressField,
-  port: integerField({minimum: 0, maximum: PORT_MAXIMUM}),
+  port: integerField({minimum: 0, maximum: MAX_PORT}),
 }).annotate({description: 'an object with address and port'});
 
 const connectSchema = Schema.Struct({
   address: addressField,
-  port: integerField({minimum: 1, maximum: PORT_MAXIMUM}),
+  port: integerField({minimum: 1, maximum: MAX_PORT}),
 });
 
 const platformUrlField = Schema.String.annotate({
@@ -43,7 +43,7 @@
     "'http://address:port' with an IP address and nothing after the port",
 }).check(Schema.makeFilter(isPlatformUrl));
 
-/** Shape of the settings file. */
+/** Schema of the settings file. */
 export const settingsSchema = Schema.Struct({
   hostName: hostNameField,
   service: nameField,
@@ -53,7 +53,7 @@
     caller: listenSchema,
     local: Schema.Struct({
       address: loopbackAddressField,
-      port: integerField({minimum: 0, maximum: PORT_MAXIMUM}),
+      port: integerField({minimum: 0, maximum: MAX_PORT}),
     }),
     peer: listenSchema,
     admin: listenSchema,
@@ -68,13 +68,13 @@
 
 const decodeSettings = createDocumentDecoder(settingsSchema);
 
-/** Checks the content of a settings file. */
+/** Parses and validates the content of a settings file. */
 export function parseSettings(bytes: Uint8Array): SettingsParseResult {
   const decoded = decodeSettings(bytes);
   if (decoded.kind === 'invalid') return decoded;
   const settings: SettingsFile = decoded.value;
   const problems = [
-    ...findSharedPorts(settings),
+    ...findDuplicatePorts(settings),
     ...findUpstreamLoop(settings),
   ];
   if (problems.length > 0) return {kind: 'invalid', problems};
@@ -89,13 +89,13 @@
 function isPlatformUrl(text: string): boolean {
   if (!URL.canParse(text)) return false;
   const {host, hostname, origin} = new URL(text);
-  // Comparing with the rebuilt form refuses paths, queries and credentials,
+  // Comparing with the normalized form rejects paths, queries and credentials,
   // and numeric shorthand that the URL parser would turn into an address.
-  const isPlain = text === `http://${host}` || text === `${origin}/`;
-  return isPlain && isIP(hostname.replace(/^\[|\]$/g, '')) !== 0;
+  const isNormalized = text === `http://${host}` || text === `${origin}/`;
+  return isNormalized && isIP(hostname.replace(/^\[|\]$/g, '')) !== 0;
 }
 
-function findSharedPorts(settings: SettingsFile): readonly Problem[] {
+function findDuplicatePorts(settings: SettingsFile): readonly Problem[] {
   const listeners = Object.entries(settings.listen);
   return listeners.flatMap(([name, listener], index) => {
     const earlier = listeners
@@ -112,7 +112,9 @@
   });
 }
 
-/** A node whose upstream is one of its own listeners would call itself. */
+/**
+ * Reports an upstream that is one of the listeners: the node would call itself.
+ */
 function findUpstreamLoop(settings: SettingsFile): readonly Problem[] {
   const {upstream} = settings;
   const own = Object.entries(settings.listen).find(([, listener]) =>
--- a/test/unit/process/settings/settings_file_schema.test.ts
+++ b/test/unit/process/settings/settings_file_schema.test.ts
@@ -23,10 +23,9 @@
   t.is(settings.graceMillis, 10_000);
 });
 
-// Symptom: a node starts and fails later, or serves under a wrong identity.
-// Sequence: the operator writes a value that parses as JSON but has no sense;
-// the daemon opens listeners with it. Cause: values taken unchecked.
-const REFUSED: readonly {
+// Guards against unvalidated values: a node started with a value that is valid
+// JSON but meaningless fails later, or serves under a wrong identity.
+const INVALID_FIELDS: readonly {
   readonly title: string;
   readonly replaced: Readonly<Record<string, unknown>>;
   readonly line: RegExp;
@@ -62,12 +61,12 @@
     line: /^\$\.upstream\.port: found "80", allowed: a whole number.* from 1 to 65535$/,
   },
   {
-    title: 'port of zero where one connects',
+    title: 'port zero of an address to connect to',
     replaced: {upstream: {address: '127.0.0.1', port: 0}},
     line: /^\$\.upstream\.port: found 0, allowed: a whole number.* from 1 to 65535$/,
   },
   {
-    title: 'port that is no integer',
+    title: 'port that is not an integer',
     replaced: listenWith({peer: {address: '127.0.0.1', port: 80.5}}),
     line: /^\$\.listen\.peer\.port: found 80\.5, allowed: a whole number.* from 0 to 65535$/,
   },
@@ -102,7 +101,7 @@
     line: /^\$\.platformUrl: found .*, allowed: 'http:\/\/address:port'/,
   },
   {
-    title: 'service that is no host label',
+    title: 'service that is not a host label',
     replaced: {service: 'Order.Desk'},
     line: /^\$\.service: found "Order\.Desk", allowed: a name of 1 to 63 lower-case/,
   },
@@ -124,8 +123,8 @@
   },
 ];
 
-for (const {title, replaced, line} of REFUSED) {
-  test(`refused with one line: ${title}`, t => {
+for (const {title, replaced, line} of INVALID_FIELDS) {
+  test(`rejected with one line: ${title}`, t => {
     const result = parseSettings(settingsBytes(replaced));
     t.is(result.kind, 'invalid');
     if (result.kind !== 'invalid') return;
@@ -134,7 +133,7 @@
   });
 }
 
-test('all problems are reported in one go', t => {
+test('all problems are reported together', t => {
   const result = parseSettings(
     settingsBytes({hostName: '', platformUrl: 7, graceMillis: 1, extra: 1}),
   );
@@ -149,10 +148,13 @@
   ]);
 });
 
-// Symptom: the daemon ends with a stack trace, or a problem spans lines.
-// Sequence: a file is cut short while it is copied, or is not a text file.
-// Cause: parser errors that quote the file, line ends included.
-const UNREADABLE: readonly (readonly [title: string, bytes: Uint8Array])[] = [
+// A file that is truncated while it is copied, or is not a text file, must not
+// end the daemon with a stack trace, nor cause a problem of several lines:
+// parser errors quote the file, including its line breaks.
+const UNPARSABLE_FILES: readonly (readonly [
+  title: string,
+  bytes: Uint8Array,
+])[] = [
   ['empty', Buffer.alloc(0)],
   ['truncated', settingsBytes().slice(0, 40)],
   ['broken over several lines', Buffer.from('{\n"hostName":\n]\n')],
@@ -161,7 +163,7 @@
   ['too large', Buffer.alloc(MAX_DOCUMENT_BYTES + 1, 0x20)],
 ];
 
-for (const [title, bytes] of UNREADABLE) {
+for (const [title, bytes] of UNPARSABLE_FILES) {
   test(`unreadable file: ${title}`, t => {
     const result = parseSettings(bytes);
     t.is(result.kind, 'invalid');
