--- a/src/process/repeats/attempt_history.ts
+++ b/src/process/repeats/attempt_history.ts
@@ -1,49 +1,55 @@
 /**
- * Upstreams that a request has been offered to, and whether another offer is allowed.
+ * Tracks the upstreams to which a request has been offered, and whether another
+ * offer is allowed.
  *
- * Load patterns: a service is full, and each further offer costs time; its upstreams
- * reject a share of what they are handed though they have room, and a retry is served.
+ * Load patterns: a service is full, and each further offer costs time; or its
+ * upstreams reject a share of the requests despite free capacity, and a retry
+ * succeeds.
  */
 
-/** What became of an offer. */
+/** Outcome of an offer. */
 export type OfferOutcome =
-  /** The upstream began to work on it, or may have. */
+  /** The upstream started to process the request, or may have. */
   | 'ran'
-  /** The upstream was handed it and says that it did not run. */
+  /** The upstream received the request and reports that it did not run it. */
   | 'rejected'
-  /** Its node has no room for it. */
+  /** The upstream's node has no free capacity. */
   | 'full'
-  /** Its node refuses for another reason, or is out of reach. */
+  /** The upstream's node refused it for another reason, or is unreachable. */
   | 'refused';
 
 /** Offers of one request. */
 export interface AttemptHistory {
-  /** Upstreams that it must not be offered to. */
+  /** Upstreams to which the request must not be offered. */
   readonly excludedIds: ReadonlySet<string>;
-  /** Upstreams that may have worked on it. */
+  /** Upstreams that may have processed the request. */
   readonly ranCount: number;
-  /** Upstreams that were handed it. */
+  /** Upstreams that received the request. */
   readonly deliveredCount: number;
-  /** It may be offered once more. */
+  /** Whether another offer is allowed. */
   readonly canOffer: boolean;
   begin(upstreamId: string): void;
-  end(how: OfferOutcome): void;
-  /** Allows offers to those that rejected it; false if there are none. */
+  end(outcome: OfferOutcome): void;
+  /**
+   * Allows offers to the upstreams that rejected it; returns false if there are
+   * none.
+   */
   readmitRejectingUpstreams(): boolean;
-  /** Allows offers to all. */
+  /** Allows offers to all upstreams. */
   readmitAllUpstreams(): void;
 }
 
-/** Offers of one request, refusals included. */
+/** Maximum offers of one request, including refused ones. */
 const MAX_OFFERS_COUNT = 4;
 
 /**
- * Refusals for load after which the service as a whole counts as full. With fewer,
- * fast upstreams refuse and a slow one with free slots is never tried.
+ * Refusals for load after which the whole service is treated as full. With a
+ * lower limit, fast upstreams refuse and a slow one with free slots is never
+ * tried.
  */
 const MAX_FULL_COUNT = 3;
 
-/** Rejections after which a request is abandoned. */
+/** Maximum rejections of one request. */
 const MAX_REJECTED_COUNT = 8;
 
 /** Creates the history of a request that has not been offered yet. */
@@ -74,10 +80,10 @@
       lastId = upstreamId;
       excludedIds.add(upstreamId);
     },
-    end: how => {
-      if (how === 'ran') ranCount += 1;
-      else if (how === 'full') fullCount += 1;
-      else if (how === 'refused') refusedCount += 1;
+    end: outcome => {
+      if (outcome === 'ran') ranCount += 1;
+      else if (outcome === 'full') fullCount += 1;
+      else if (outcome === 'refused') refusedCount += 1;
       else {
         rejectedCount += 1;
         rejectingIds.add(lastId);
--- a/src/process/repeats/attempt_timeouts.ts
+++ b/src/process/repeats/attempt_timeouts.ts
@@ -1,95 +1,104 @@
 /**
- * How long an attempt that could be repeated is waited for before another
- * upstream is tried.
+ * Computes how long to wait for a retryable attempt before another upstream is
+ * tried.
  *
- * Load pattern: upstreams run requests whose answers are lost without a word,
- * or turn many times slower. Waited for to the deadline, a request of twelve
- * calls of which a tenth are lost fails almost surely. What an attempt usually
- * takes is learned from those that were answered.
+ * Load pattern: upstreams run requests whose responses are lost without an
+ * error, or become many times slower. If each attempt could last until the
+ * deadline, a request of twelve calls, a tenth of which are lost, would almost
+ * certainly fail. The usual duration is learned from attempts that got a
+ * response.
  */
 
-/** Learned times of attempts, by what they were for. */
+/** Timeouts learned from earlier attempts, by kind of attempt. */
 export interface AttemptTimeouts {
-  /** Time after which to look elsewhere; `undefined` while too little is known. */
+  /**
+   * Time after which to try another upstream; `undefined` without enough
+   * samples.
+   */
   timeoutMillis(key: string): number | undefined;
-  /** Mean time to an answer; `undefined` before the first. */
+  /** Mean time to a response; `undefined` before the first one. */
   usualMillis(key: string): number | undefined;
-  /** An attempt was answered after this time. */
+  /** Records the response time of an attempt. */
   recordResponse(key: string, millis: number): void;
-  /** An attempt was given up without an answer. */
+  /** Records an attempt that was abandoned without a response. */
   recordTimeout(key: string): void;
 }
 
-/** Answers before a time is trusted. */
+/** Responses required before a timeout is applied. */
 const MIN_SAMPLES_COUNT = 20;
 
-/** Weights of one new sample in the mean and in the mean deviation. */
+/** Weights of a new sample in the mean and in the mean deviation. */
 const MEAN_WEIGHT = 1 / 16;
 const DEVIATION_WEIGHT = 1 / 8;
 
-/** Deviations beyond the mean; answers that come lie within with some 99%. */
+/** Mean deviations added to the mean: covers about 99% of the responses. */
 const DEVIATIONS_COUNT = 4;
 
-/** At least so many means: a repeat costs as much as was waited for. */
-const MIN_MEANS_COUNT = 2;
+/**
+ * Minimum timeout as a multiple of the mean: a retry costs as much as the wait.
+ */
+const MIN_TIMEOUT_MEANS_COUNT = 2;
 
-/** A lost packet is sent again after some 200 ms, and then the answer comes. */
-const MIN_PATIENCE_MILLIS = 150;
+/**
+ * Minimum timeout. A lost packet is retransmitted after about 200 ms, and the
+ * response then arrives.
+ */
+const MIN_TIMEOUT_MILLIS = 150;
 
 /**
- * One given up counts as so many means: enough that times which have grown are
- * learned although no answer comes, and so few that the mean stays where half
- * of the answers are lost.
+ * Sample for an abandoned attempt, as a multiple of the mean: large enough to
+ * learn longer durations although no response arrives, and small enough to keep
+ * the mean stable while half of the responses are lost.
  */
-const GIVEN_UP_MEANS_COUNT = 1.5;
+const ABANDONED_MEANS_COUNT = 1.5;
 
-interface Times {
+interface DurationStats {
   samplesCount: number;
   meanMillis: number;
   deviationMillis: number;
 }
 
-/** Creates a patience that has learned nothing. */
+/** Creates timeouts without samples. */
 export function createAttemptTimeouts(): AttemptTimeouts {
-  const timesByKey = new Map<string, Times>();
+  const statsByKey = new Map<string, DurationStats>();
 
-  const learn = (times: Times, millis: number): void => {
-    const distanceMillis = millis - times.meanMillis;
-    times.samplesCount += 1;
-    times.meanMillis += distanceMillis * MEAN_WEIGHT;
-    times.deviationMillis +=
-      (Math.abs(distanceMillis) - times.deviationMillis) * DEVIATION_WEIGHT;
+  const addSample = (stats: DurationStats, millis: number): void => {
+    const distanceMillis = millis - stats.meanMillis;
+    stats.samplesCount += 1;
+    stats.meanMillis += distanceMillis * MEAN_WEIGHT;
+    stats.deviationMillis +=
+      (Math.abs(distanceMillis) - stats.deviationMillis) * DEVIATION_WEIGHT;
   };
 
   return {
     timeoutMillis: key => {
-      const times = timesByKey.get(key);
-      if (times === undefined) return undefined;
-      if (times.samplesCount < MIN_SAMPLES_COUNT) return undefined;
-      const {meanMillis, deviationMillis} = times;
+      const stats = statsByKey.get(key);
+      if (stats === undefined) return undefined;
+      if (stats.samplesCount < MIN_SAMPLES_COUNT) return undefined;
+      const {meanMillis, deviationMillis} = stats;
       return Math.max(
-        MIN_PATIENCE_MILLIS,
-        meanMillis * MIN_MEANS_COUNT,
+        MIN_TIMEOUT_MILLIS,
+        meanMillis * MIN_TIMEOUT_MEANS_COUNT,
         meanMillis + deviationMillis * DEVIATIONS_COUNT,
       );
     },
-    usualMillis: key => timesByKey.get(key)?.meanMillis,
+    usualMillis: key => statsByKey.get(key)?.meanMillis,
     recordResponse: (key, millis) => {
-      const times = timesByKey.get(key);
-      if (times !== undefined) {
-        learn(times, millis);
+      const stats = statsByKey.get(key);
+      if (stats !== undefined) {
+        addSample(stats, millis);
         return;
       }
-      timesByKey.set(key, {
+      statsByKey.set(key, {
         samplesCount: 1,
         meanMillis: millis,
         deviationMillis: millis / 2,
       });
     },
     recordTimeout: key => {
-      const times = timesByKey.get(key);
-      if (times === undefined) return;
-      learn(times, times.meanMillis * GIVEN_UP_MEANS_COUNT);
+      const stats = statsByKey.get(key);
+      if (stats === undefined) return;
+      addSample(stats, stats.meanMillis * ABANDONED_MEANS_COUNT);
     },
   };
 }
--- a/src/process/repeats/hop_registry.ts
+++ b/src/process/repeats/hop_registry.ts
@@ -1,36 +1,38 @@
 /**
- * Requests of other nodes that this node has received, so that a sender can go
- * on with one whose connection was lost: a request belongs to its id, not to
- * its connection.
+ * Registry of the requests received from other nodes (hops). A request belongs
+ * to its id and not to its connection, so that a sender can resume it after the
+ * connection was lost.
  */
 
-/** Answer to a sender that claims a hop. */
+/** Result of a claim, which a sender makes to resume a hop. */
 export type HopClaim<T> =
-  /** It has not arrived, and will be refused from now on. */
+  /** The hop has not arrived, and will be refused if it arrives later. */
   | {readonly state: 'unknown'}
   | {readonly state: 'working' | 'finished'; readonly hop: T}
-  /** It was answered, and the answer is not kept any more. */
+  /** The hop was answered, and its response is no longer kept. */
   | {readonly state: 'gone'};
 
-/** Registry of one node. */
+/** Hops that one node has received. */
 export interface HopRegistry<T> {
-  /** Records an arrival; false if its sender has given it up already. */
+  /**
+   * Records an arrival; returns false if its sender has already abandoned it.
+   */
   begin(hopId: string, hop: T): boolean;
-  /** Records an answer, of which so many bytes are kept for a sender that asks. */
+  /** Records a response, of which `keptBytes` are kept for a claim. */
   end(hopId: string, keptBytes: number): void;
   claim(hopId: string): HopClaim<T>;
 }
 
 /**
- * Hops that were answered or given up and whose ids are still remembered:
- * senders ask within a second, and a node handles some hundred hops in one.
+ * Maximum ids remembered of answered and of abandoned hops: senders make claims
+ * within a second, in which a node handles a few hundred hops.
  */
-const REMEMBERED_COUNT = 4096;
+const MAX_REMEMBERED_IDS_COUNT = 4096;
 
-/** Time for which answers are kept: a lost connection is noticed in less. */
-const KEPT_MILLIS = 1500;
+/** Time for which responses are kept; a lost connection is detected sooner. */
+const RESPONSE_RETENTION_MILLIS = 1500;
 
-/** Bytes of answers that are kept; a few seconds of usual answers. */
+/** Maximum bytes of responses kept: a few seconds of usual responses. */
 const MAX_KEPT_BYTES = 2_097_152;
 
 interface FinishedHop<T> {
@@ -47,13 +49,13 @@
   const refused = createRecentIds();
   let keptBytes = 0;
 
-  /** The oldest stand first. */
-  const forgetOld = (): void => {
-    const since = nowMillis() - KEPT_MILLIS;
-    for (const [hopId, kept] of finished) {
-      if (kept.finishedMillis > since && keptBytes <= MAX_KEPT_BYTES) return;
+  /** Evicts responses that are expired or exceed the size limit, oldest first. */
+  const evictOld = (): void => {
+    const cutoff = nowMillis() - RESPONSE_RETENTION_MILLIS;
+    for (const [hopId, entry] of finished) {
+      if (entry.finishedMillis > cutoff && keptBytes <= MAX_KEPT_BYTES) return;
       finished.delete(hopId);
-      keptBytes -= kept.keptBytes;
+      keptBytes -= entry.keptBytes;
       gone.add(hopId);
     }
   };
@@ -75,14 +77,14 @@
       keptBytes += bytes;
       const finishedMillis = nowMillis();
       finished.set(hopId, {hop, keptBytes: bytes, finishedMillis});
-      forgetOld();
+      evictOld();
     },
     claim: hopId => {
       const hop = working.get(hopId);
       if (hop !== undefined) return {state: 'working', hop};
-      forgetOld();
-      const kept = finished.get(hopId);
-      if (kept !== undefined) return {state: 'finished', hop: kept.hop};
+      evictOld();
+      const entry = finished.get(hopId);
+      if (entry !== undefined) return {state: 'finished', hop: entry.hop};
       if (gone.has(hopId)) return {state: 'gone'};
       refused.add(hopId);
       return {state: 'unknown'};
@@ -95,14 +97,14 @@
   add(id: string): void;
 }
 
-/** A set that forgets its oldest members. */
+/** Creates a bounded set of ids that evicts the oldest ones. */
 function createRecentIds(): RecentIds {
   const ids = new Set<string>();
   return {
     has: id => ids.has(id),
     add: id => {
       ids.add(id);
-      if (ids.size <= REMEMBERED_COUNT) return;
+      if (ids.size <= MAX_REMEMBERED_IDS_COUNT) return;
       const [oldest] = ids;
       if (oldest !== undefined) ids.delete(oldest);
     },
--- a/src/process/repeats/in_flight_parents.ts
+++ b/src/process/repeats/in_flight_parents.ts
@@ -1,50 +1,55 @@
 /**
- * Requests that the upstream of this host works on, and the search for the one
- * that a call of the upstream is made for.
+ * Tracks the requests in progress at the upstream of this host, and finds the
+ * parent request of a call that the upstream makes.
  *
- * Upstreams derive the id of a call from the id of the request it is made for:
- * the parent's id, a dot, and a part of its own. A call is taken for one of the
- * upstream's only if its parent is in progress here, so an id that merely looks
- * derived changes nothing.
+ * Upstreams derive the id of a call from the id of its parent request: the
+ * parent's id, a dot and a suffix. A call is attributed to the upstream only if
+ * its parent is in progress here, so an id that only looks derived has no
+ * effect.
  */
 import type {CallCounts} from '../admission/call_trees.js';
 import type {RetryGrant} from './retry_grant.js';
 
-/** What calls inherit from a client's request. */
+/** Properties that calls inherit from the client's request. */
 export interface CallOrigin {
   readonly importance: number;
-  /** Organisation whose client sent the root, if clients have API keys. */
+  /**
+   * Organisation of the client that sent the root, if clients have API keys.
+   */
   readonly organisationName?: string | undefined;
   /** Id of the client's attempt at the root. */
   readonly rootId: string;
-  /** Route at which the root entered. */
+  /** Route on which the root request entered. */
   readonly rootRouteName: string;
-  /** When the root's attempt began, on this node's clock. */
+  /** Start of the root's attempt, on the clock of this node. */
   readonly rootBeganAtMillis: number;
-  /** The root, or a request on the way, was sent to a second upstream. */
+  /**
+   * The root, or a request between it and this one, was sent to a second
+   * upstream.
+   */
   readonly isRepeat: boolean;
-  /** Repeats that the request may still cause, shared by all its calls here. */
+  /** Retries that the request may still cause, shared by all its calls here. */
   readonly grant: RetryGrant;
 }
 
 /** A request in progress at the upstream. */
 export interface InFlightParent {
   readonly origin: CallOrigin;
-  /** Adds the calls that one call caused below. */
+  /** Adds the downstream calls caused by one call. */
   addCalls(counts: CallCounts): void;
-  /** Notes that a call made for this request failed. */
+  /** Records that a call made for this request failed. */
   markFailedCall(): void;
   readonly hasFailedCall: boolean;
   readonly calls: CallCounts;
-  /** Ends the record. */
+  /** Removes the request from the registry. */
   close(): void;
 }
 
-/** Registry of one node. */
+/** Requests in progress, by attempt id. */
 export interface InFlightParents {
-  /** Records a request that is handed over now. */
+  /** Records a request that is sent to the upstream. */
   open(attemptId: string, origin: CallOrigin): InFlightParent;
-  /** The request that a call with this id is made for. */
+  /** Returns the parent request of the call with this id. */
   find(callId: string): InFlightParent | undefined;
 }
 
@@ -70,14 +75,16 @@
   };
 }
 
-/** A plain field: an accessor in a literal makes each parent costly to create. */
-interface OwnParent extends InFlightParent {
+/**
+ * Plain property: an accessor in an object literal makes each parent costly.
+ */
+interface MutableParent extends InFlightParent {
   hasFailedCall: boolean;
 }
 
 function createParent(origin: CallOrigin, close: () => void): InFlightParent {
   const calls = new Map<string, number>();
-  const parent: OwnParent = {
+  const parent: MutableParent = {
     origin,
     calls,
     close,
--- a/src/process/repeats/retry_grant.ts
+++ b/src/process/repeats/retry_grant.ts
@@ -1,13 +1,14 @@
 /**
- * Conserved grant of retries: what one request may spend over its whole chain.
+ * Conserved grant of retries that one request may spend across its whole call
+ * chain: retries are moved between hops, never copied.
  */
 
-/** Retries lent to one attempt; settled exactly once. */
+/** Retries passed on with one attempt; reclaimed or discarded exactly once. */
 export interface DelegatedRetries {
   readonly count: number;
-  /** Returns what the callee left unspent. */
+  /** Returns the unspent retries of the callee to the grant. */
   reclaim(unspentCount: number): void;
-  /** Writes the loan off because no answer reported what is left. */
+  /** Discards the retries, as no response reported how many are unspent. */
   discard(): void;
 }
 
@@ -17,13 +18,13 @@
 /** Retries available to one request on this host, shared by its parallel calls. */
 export abstract class RetryGrant {
   abstract remaining(): number;
-  /** Takes one retry for an attempt beyond the first. */
+  /** Takes one retry for an attempt after the first. */
   abstract trySpend(): boolean;
-  /** Lends a part of the grant to an attempt. */
+  /** Passes a part of the grant on with an attempt. */
   abstract delegate(): DelegatedRetries;
   /**
-   * Ends the grant and returns what remains, to be given back. Calls that are
-   * still being made for the request get nothing more from it.
+   * Ends the grant and returns the remaining retries, which go back to the
+   * sender. Calls still in progress for the request get no more of them.
    */
   abstract close(): number;
 }
--- a/src/process/repeats/shared_retry_grant.ts
+++ b/src/process/repeats/shared_retry_grant.ts
@@ -1,35 +1,37 @@
 /**
- * Retry grant of one request on one host: a pool that parallel calls share.
+ * Retry grant of one request on one host, shared by its parallel calls.
  */
 import type {DelegatedRetries} from './retry_grant.js';
 import {RetryGrant} from './retry_grant.js';
 
-/** Part of the remaining retries that goes with one attempt. */
+/** Returns how many of the remaining retries are passed on with one attempt. */
 export type DelegationRule = (remainingCount: number) => number;
 
 /**
- * Lends all but one. The deeper a retry, the less work it repeats, so most of
- * the grant goes down; but an answer that is lost forfeits what was lent, and
- * only a retry kept back can then repeat the attempt from here.
+ * Delegates all retries but one. A retry deeper in the chain repeats less work,
+ * so most of the grant is passed down. But a lost response discards the
+ * delegated retries, and only a retry kept here can then repeat the attempt.
  */
 export const delegateAllButOne: DelegationRule = remainingCount =>
   Math.max(0, remainingCount - 1);
 
-/** Creates a grant; a count that is not a number of at least 1 is 0. */
+/** Creates a grant; a count that is not a finite number of at least 1 is 0. */
 export function createRetryGrant(
   count: number,
-  lendingRule: DelegationRule = delegateAllButOne,
+  delegationRule: DelegationRule = delegateAllButOne,
 ): RetryGrant {
-  return new SharedRetryGrant(toCount(count), lendingRule);
+  return new SharedRetryGrant(toCount(count), delegationRule);
 }
 
-/** One class for all grants: every request and every hop has one. */
+/**
+ * A class, not a closure for each grant: every request and every hop has one.
+ */
 class SharedRetryGrant extends RetryGrant {
   private isClosed = false;
 
   constructor(
     private remainingCount: number,
-    private readonly lendingRule: DelegationRule,
+    private readonly delegationRule: DelegationRule,
   ) {
     super();
   }
@@ -45,15 +47,15 @@
   }
 
   override delegate(): DelegatedRetries {
-    const lentCount = this.lendingRule(this.remainingCount);
-    this.remainingCount -= lentCount;
+    const delegatedCount = this.delegationRule(this.remainingCount);
+    this.remainingCount -= delegatedCount;
     let isSettled = false;
     return {
-      count: lentCount,
+      count: delegatedCount,
       reclaim: unspentCount => {
         if (isSettled) return;
         isSettled = true;
-        this.takeBack(unspentCount, lentCount);
+        this.reclaim(unspentCount, delegatedCount);
       },
       discard: () => {
         isSettled = true;
@@ -62,24 +64,26 @@
   }
 
   override close(): number {
-    const leftCount = this.remainingCount;
+    const unspentCount = this.remainingCount;
     this.remainingCount = 0;
     this.isClosed = true;
-    return leftCount;
+    return unspentCount;
   }
 
-  private takeBack(unspentCount: number, lentCount: number): void {
-    // What comes back after the rest was given away is lost: a parent that gave
-    // up reports its remainder while its calls still run, and a retry that both
-    // sides count as theirs would be spent twice.
+  private reclaim(unspentCount: number, delegatedCount: number): void {
+    // Retries that return after the grant was closed are lost: a parent that
+    // abandoned its request reports the remainder while its calls still run,
+    // and a retry counted by both sides would be spent twice.
     if (this.isClosed) return;
-    // A callee that is mistaken or corrupted could claim more than it was lent
-    // and so create retries out of nothing; the bound would break.
-    this.remainingCount += Math.min(toCount(unspentCount), lentCount);
+    // A faulty or corrupted callee could return more retries than it received,
+    // which would exceed the limit.
+    this.remainingCount += Math.min(toCount(unspentCount), delegatedCount);
   }
 }
 
-/** Reads a count from outside: whole, not negative, 0 when not a number. */
+/**
+ * Converts an untrusted count: whole, not negative, 0 if not a finite number.
+ */
 function toCount(value: number): number {
   return value >= 1 && Number.isFinite(value) ? Math.floor(value) : 0;
 }
--- a/src/process/repeats/window_sum.ts
+++ b/src/process/repeats/window_sum.ts
@@ -1,62 +1,61 @@
 /**
- * Sums over a sliding window of parts, and over the windows before it.
+ * Sums over a sliding window of buckets, and over the windows before it.
  *
- * The bound on repeats counts requests in its window, in the one before it or in
- * the one half a window before it, whichever has most. A service whose requests
- * are refused early would otherwise lose its repeats with them.
+ * The limit on retries counts requests in its window, in the one before it or
+ * in the one half a window before it, whichever has most. Otherwise, a service
+ * whose requests are refused early would lose its retries too.
  */
 
-/** A sum over windows. */
 export interface WindowSum {
-  /** Adds to a part; parts are numbered by time. */
-  add(part: number, count: number): void;
-  /** Sum of the window that ends with a part. */
-  latest(part: number): number;
-  /** The largest sum of the window and of those before it. */
-  largest(part: number): number;
+  /** Adds to a bucket; buckets are numbered by time. */
+  add(bucket: number, count: number): void;
+  /** Sum of the window that ends with a bucket. */
+  latest(bucket: number): number;
+  /** Largest sum of that window and of those before it. */
+  largest(bucket: number): number;
 }
 
-/** Creates an empty sum over windows of so many parts. */
-export function createWindowSum(partsCount: number): WindowSum {
-  const keptCount = 2 * partsCount;
-  const half = Math.floor(partsCount / 2);
+/** Creates an empty sum over windows of `bucketsCount` buckets. */
+export function createWindowSum(bucketsCount: number): WindowSum {
+  const keptCount = 2 * bucketsCount;
+  const halfCount = Math.floor(bucketsCount / 2);
   const counts = new Float64Array(keptCount);
   let newest = 0;
 
-  const advance = (part: number): void => {
-    const passedCount = Math.min(keptCount, part - newest);
-    for (let index = 0; index < passedCount; index += 1) {
-      counts[(part - index) % keptCount] = 0;
+  const advance = (bucket: number): void => {
+    const elapsedCount = Math.min(keptCount, bucket - newest);
+    for (let index = 0; index < elapsedCount; index += 1) {
+      counts[(bucket - index) % keptCount] = 0;
     }
-    newest = Math.max(newest, part);
+    newest = Math.max(newest, bucket);
   };
 
   const sumUpTo = (last: number): number => {
     let sum = 0;
-    for (let index = 0; index < partsCount; index += 1) {
-      const part = last - index;
-      if (part < 0) break;
-      sum += counts[part % keptCount] ?? 0;
+    for (let index = 0; index < bucketsCount; index += 1) {
+      const bucket = last - index;
+      if (bucket < 0) break;
+      sum += counts[bucket % keptCount] ?? 0;
     }
     return sum;
   };
 
   return {
-    add: (part, count) => {
-      advance(part);
-      const index = part % keptCount;
+    add: (bucket, count) => {
+      advance(bucket);
+      const index = bucket % keptCount;
       counts[index] = (counts[index] ?? 0) + count;
     },
-    latest: part => {
-      advance(part);
-      return sumUpTo(part);
+    latest: bucket => {
+      advance(bucket);
+      return sumUpTo(bucket);
     },
-    largest: part => {
-      advance(part);
+    largest: bucket => {
+      advance(bucket);
       return Math.max(
-        sumUpTo(part),
-        sumUpTo(part - half),
-        sumUpTo(part - partsCount),
+        sumUpTo(bucket),
+        sumUpTo(bucket - halfCount),
+        sumUpTo(bucket - bucketsCount),
       );
     },
   };
--- a/test/unit/process/repeats/attempt_history.test.ts
+++ b/test/unit/process/repeats/attempt_history.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import {createAttemptHistory} from '../../../../src/process/repeats/attempt_history.js';
 
-test('who is rejected by all asks them again, a bounded number of times', t => {
-  // Load: two upstreams that reject half of what they are handed.
+test('after rejections by all upstreams they are tried again, a bounded number of times', t => {
+  // Load: two upstreams that reject half of the requests they receive.
   const history = createAttemptHistory();
   let offersCount = 0;
   while (history.canOffer) {
@@ -20,7 +20,7 @@
   t.is(history.deliveredCount, 8);
 });
 
-test('one that may have run it, or has no room, is not asked again', t => {
+test('an upstream that may have run it, or has no capacity, is not tried again', t => {
   const history = createAttemptHistory();
   for (const [id, end] of [
     ['a', 'ran'],
--- a/test/unit/process/repeats/attempt_timeouts.test.ts
+++ b/test/unit/process/repeats/attempt_timeouts.test.ts
@@ -4,58 +4,58 @@
 
 const KEY = 'lookup';
 
-test('nothing is given up before enough answers have come', t => {
-  const patience = createAttemptTimeouts();
+test('no timeout applies before enough responses were received', t => {
+  const timeouts = createAttemptTimeouts();
   for (let index = 0; index < 10; index += 1) {
-    patience.recordResponse(KEY, 40);
+    timeouts.recordResponse(KEY, 40);
   }
-  t.is(patience.timeoutMillis(KEY), undefined);
-  t.is(patience.timeoutMillis('other'), undefined);
+  t.is(timeouts.timeoutMillis(KEY), undefined);
+  t.is(timeouts.timeoutMillis('other'), undefined);
 });
 
-test('lost answers are noticed, usual ones are waited for', t => {
-  // Symptom: requests of many calls fail at their deadline while upstreams are
-  // well. Sequence: a part of the answers is lost. Cause: each lost one was
-  // waited for to the end.
+test('lost responses time out, usual ones are awaited', t => {
+  // Requests of many calls failed at their deadline although upstreams were
+  // healthy: a part of the responses was lost, and each lost one was awaited
+  // until the deadline.
   const random = createSeededRandom(7);
-  const patience = createAttemptTimeouts();
-  let givenUpCount = 0;
-  let needlessCount = 0;
+  const timeouts = createAttemptTimeouts();
+  let abandonedCount = 0;
+  let prematureCount = 0;
   let longestMillis = 0;
   for (let index = 0; index < 5000; index += 1) {
-    // Answer times spread evenly between 20 and 100 ms; three in ten are lost.
-    const answerMillis = random() < 0.3 ? Infinity : 20 + 80 * random();
-    const limitMillis = patience.timeoutMillis(KEY) ?? 100_000;
-    if (answerMillis <= limitMillis) {
-      patience.recordResponse(KEY, answerMillis);
+    // Response times are uniform between 20 and 100 ms; three in ten are lost.
+    const responseMillis = random() < 0.3 ? Infinity : 20 + 80 * random();
+    const timeoutMillis = timeouts.timeoutMillis(KEY) ?? 100_000;
+    if (responseMillis <= timeoutMillis) {
+      timeouts.recordResponse(KEY, responseMillis);
       continue;
     }
-    givenUpCount += 1;
-    if (answerMillis < Infinity) needlessCount += 1;
-    patience.recordTimeout(KEY);
-    if (index > 100) longestMillis = Math.max(longestMillis, limitMillis);
+    abandonedCount += 1;
+    if (responseMillis < Infinity) prematureCount += 1;
+    timeouts.recordTimeout(KEY);
+    if (index > 100) longestMillis = Math.max(longestMillis, timeoutMillis);
   }
-  t.true(givenUpCount > 1000);
-  t.is(needlessCount, 0);
+  t.true(abandonedCount > 1000);
+  t.is(prematureCount, 0);
   t.true(longestMillis < 400, `waited ${String(longestMillis)} ms`);
 });
 
-test('a service that has become slower is waited for again', t => {
-  // All upstreams take five times as long; giving each attempt up would double
-  // their load for as long as it lasts.
-  const patience = createAttemptTimeouts();
+test('a service that has become slower is awaited again', t => {
+  // All upstreams take five times as long; abandoning each attempt would double
+  // their load for as long as this lasts.
+  const timeouts = createAttemptTimeouts();
   for (let index = 0; index < 100; index += 1) {
-    patience.recordResponse(KEY, 50 + (index % 10));
+    timeouts.recordResponse(KEY, 50 + (index % 10));
   }
-  let givenUpCount = 0;
+  let abandonedCount = 0;
   for (let index = 0; index < 300; index += 1) {
-    const limitMillis = patience.timeoutMillis(KEY) ?? 0;
-    if (limitMillis < 250) {
-      givenUpCount += 1;
-      patience.recordTimeout(KEY);
+    const timeoutMillis = timeouts.timeoutMillis(KEY) ?? 0;
+    if (timeoutMillis < 250) {
+      abandonedCount += 1;
+      timeouts.recordTimeout(KEY);
     } else {
-      patience.recordResponse(KEY, 250);
+      timeouts.recordResponse(KEY, 250);
     }
   }
-  t.true(givenUpCount < 60, `${String(givenUpCount)} of 300 given up`);
+  t.true(abandonedCount < 60, `${String(abandonedCount)} of 300 abandoned`);
 });
--- a/test/unit/process/repeats/repeat_budget.test.ts
+++ b/test/unit/process/repeats/repeat_budget.test.ts
@@ -27,9 +27,9 @@
 
 const ONE = new Map([['orders', 1]]);
 
-test('nodes together stay within the bound without asking each other', t => {
-  // Symptom: a service that fails gets more repeats than the fleet may send.
-  // Ten nodes each see a tenth of the requests and spend on their own.
+test('nodes together stay within the limit without coordination', t => {
+  // Guards against a failing service that gets more retries than the fleet may
+  // send: ten nodes each see a tenth of the requests and spend independently.
   const nodesCount = 10;
   const requestsCount = 1000;
   let spentCount = 0;
@@ -44,7 +44,7 @@
   t.true(spentCount <= BOUND.ratio * requestsCount + BOUND.slackCount);
 });
 
-test('a repeat is charged at each service that its calls reach', t => {
+test('a retry is charged to each service that its calls reach', t => {
   const {budget, takeAll} = createFixture(1);
   const tree = new Map([
     ['orders', 1],
@@ -56,7 +56,7 @@
   t.true(budget.tryTake(ONE));
 });
 
-test('what was spent is free again after the window', t => {
+test('spent retries are available again after the window', t => {
   const {takeAll, advance} = createFixture(1);
   const first = takeAll(ONE);
   t.is(takeAll(ONE), 0);
@@ -68,33 +68,33 @@
   t.is(takeAll(ONE), first);
 });
 
-test('repeats of rejected requests last for the whole window', t => {
-  // Symptom: a service that rejects half of 1000 requests a second has no repeats
-  // left after two seconds, for eight more. Cause: each was granted as long as
-  // any of the window's was left.
+test('retries of rejected requests last for the whole window', t => {
+  // A service that rejects half of 1000 requests a second had no retries left
+  // after two seconds, for the next eight: each was granted as long as the
+  // window had any left.
   const {budget, advance} = createFixture(1);
   for (let millis = 0; millis < 10_000; millis += 1) {
     budget.recordRequest(ONE);
     advance(1);
   }
-  const takeInTime = (): number => {
+  const takePaced = (): number => {
     let takenCount = 0;
     while (budget.tryTakePaced(ONE)) takenCount += 1;
     return takenCount;
   };
-  const first = takeInTime();
+  const first = takePaced();
   t.true(first > 100);
   t.true(first <= 0.2 * BOUND.ratio * 10_000);
   for (let second = 1; second < 4; second += 1) {
     advance(1000);
-    t.true(takeInTime() > 100);
+    t.true(takePaced() > 100);
   }
 });
 
-test('repeats last as long as the requests before are counted', t => {
-  // Symptom: a service gets fewer repeats the more of its requests are turned
-  // away. Cause: the budget counted the requests of the window alone, and the
-  // bound those of the window before as well.
+test('retries last as long as earlier requests are counted', t => {
+  // The more of its requests were refused, the fewer retries a service got: the
+  // budget counted the requests of the current window only, although the limit
+  // counts those of the previous window too.
   const {budget, takeAll, advance} = createFixture(1);
   for (let millis = 0; millis < 10_000; millis += 10) {
     budget.recordRequest(ONE);
@@ -104,19 +104,20 @@
   t.true(takeAll(ONE) >= 0.5 * BOUND.ratio * 1000);
 });
 
-test('operators see what was spent of the share', t => {
+test('the spent part of the share is reported to operators', t => {
   const {budget, takeAll} = createFixture(1);
   for (let sent = 0; sent < 50; sent += 1) budget.recordRequest(ONE);
   const spentCount = takeAll(ONE);
-  const [use] = budget.usage();
-  t.like(use, {service: 'orders', spentCount});
-  t.is(Math.floor(use!.allowedCount), spentCount);
+  const [usage] = budget.usage();
+  t.like(usage, {service: 'orders', spentCount});
+  t.is(Math.floor(usage!.allowedCount), spentCount);
 });
 
-test('what was spent counts for the whole window, whenever it was spent', t => {
-  // A service gets up to twice the repeats that ten seconds allow. The window was
-  // the ten parts up to now, the last of which has just begun: what was spent at
-  // 0.9 s was free again at 10.0 s, 0.9 s before the window was over.
+test('retries count for a whole window, whenever they were spent', t => {
+  // A service got up to twice the retries that ten seconds allow. The window
+  // was the ten buckets up to now, the last of which has just begun: retries
+  // spent at 0.9 s were available again at 10.0 s, 0.9 s before the window was
+  // over.
   const {takeAll, advance} = createFixture(1);
   advance(900);
   t.true(takeAll(ONE) > 0);
@@ -126,10 +127,10 @@
   t.is(takeAll(ONE), 0);
 });
 
-test('what a former start of a node spent still counts in its window', t => {
-  // A fleet repeats at its bound, loses power, and repeats at its bound again: one
-  // service gets 328 repeats in ten seconds that allow 240. A node that has started
-  // knows nothing of what its former start spent a moment before.
+test('retries spent before a restart of a node still count in its window', t => {
+  // A fleet retried at its limit, lost power, and retried at its limit again:
+  // one service got 328 retries in ten seconds that allow 240. A started node
+  // has no record of what its previous process spent just before.
   let now = 60_000;
   const startNode = () =>
     createRepeatBudget({
@@ -148,20 +149,20 @@
       now += 10;
       budget.recordRequest(ONE);
       budget.recordExpectedCalls(ONE);
-      if (budget !== former) takenCount += takeAll(budget);
+      if (budget !== previous) takenCount += takeAll(budget);
     }
     return takenCount;
   };
-  const former = startNode();
-  serve(former, 90_000);
-  const formerCount = takeAll(former);
+  const previous = startNode();
+  serve(previous, 90_000);
+  const previousCount = takeAll(previous);
   const laterCount = serve(startNode(), 99_900);
   const requestsCount = 1000;
   const allowedCount = BOUND.ratio * requestsCount + BOUND.slackCount;
-  t.true(formerCount >= 0.6 * BOUND.ratio * requestsCount);
+  t.true(previousCount >= 0.6 * BOUND.ratio * requestsCount);
   t.true(laterCount > 0);
   t.true(
-    formerCount + laterCount <= allowedCount,
-    String([formerCount, laterCount]),
+    previousCount + laterCount <= allowedCount,
+    String([previousCount, laterCount]),
   );
 });
--- a/test/unit/process/repeats/shared_retry_grant.test.ts
+++ b/test/unit/process/repeats/shared_retry_grant.test.ts
@@ -17,80 +17,93 @@
   readonly fanOutCount: number;
   readonly isParallel: boolean;
   readonly boundCount: number;
-  /** Chance that a host refuses, and that the answer of one that ran is lost. */
+  /**
+   * Probability that a host refuses, and that the response of one that ran is
+   * lost.
+   */
   readonly refusedRatio: number;
   readonly lostRatio: number;
-  readonly lendingRule: DelegationRule;
+  readonly delegationRule: DelegationRule;
 }
 
-/** Settles a loan, honestly or with repeats and late claims. */
-type Settle = (
-  loan: DelegatedRetries,
+/** Reclaims or discards delegated retries, correctly or repeatedly and late. */
+type ReturnRetries = (
+  delegated: DelegatedRetries,
   unspentCount: number,
   isLost: boolean,
 ) => void;
 
-const settleOnce: Settle = (loan, unspentCount, isLost) => {
-  if (isLost) loan.discard();
-  else loan.reclaim(unspentCount);
+const returnOnce: ReturnRetries = (delegated, unspentCount, isLost) => {
+  if (isLost) delegated.discard();
+  else delegated.reclaim(unspentCount);
 };
 
-/** Runs one request through the tree; counts the retries spent anywhere. */
-function runRequest(tree: Tree, random: () => number, settle: Settle) {
+/** Runs one request through the tree and counts the retries of all hops. */
+function runRequest(
+  tree: Tree,
+  random: () => number,
+  returnRetries: ReturnRetries,
+) {
   let spentCount = 0;
 
-  function answer(loan: DelegatedRetries, levels: number): boolean {
+  function runAttempt(delegated: DelegatedRetries, levels: number): boolean {
     if (random() < tree.refusedRatio) {
-      settle(loan, loan.count, false);
+      returnRetries(delegated, delegated.count, false);
       return false;
     }
-    const grant = createRetryGrant(loan.count, tree.lendingRule);
-    const isServed = serve(grant, levels);
+    const grant = createRetryGrant(delegated.count, tree.delegationRule);
+    const isServed = runHop(grant, levels);
     const isLost = random() < tree.lostRatio;
-    settle(loan, grant.remaining(), isLost);
+    returnRetries(delegated, grant.remaining(), isLost);
     return isServed && !isLost;
   }
 
-  function retry(grant: RetryGrant, levels: number): boolean {
+  function retryUntilServed(grant: RetryGrant, levels: number): boolean {
     while (grant.trySpend()) {
       spentCount += 1;
-      if (answer(grant.delegate(), levels)) return true;
+      if (runAttempt(grant.delegate(), levels)) return true;
     }
     return false;
   }
 
-  function serve(grant: RetryGrant, levels: number): boolean {
+  function runHop(grant: RetryGrant, levels: number): boolean {
     if (levels === 0) return true;
     const calls = Array.from({length: tree.fanOutCount}, () => undefined);
     if (tree.isParallel) {
-      // All loans are out before the first comes back.
-      const loans = calls.map(() => grant.delegate());
-      const results = loans.map(loan => answer(loan, levels - 1));
-      return results.every(isOk => isOk || retry(grant, levels - 1));
+      // Retries are delegated to all calls before the first call returns any.
+      const delegatedList = calls.map(() => grant.delegate());
+      const results = delegatedList.map(delegated =>
+        runAttempt(delegated, levels - 1),
+      );
+      return results.every(isOk => isOk || retryUntilServed(grant, levels - 1));
     }
     return calls.every(
-      () => answer(grant.delegate(), levels - 1) || retry(grant, levels - 1),
+      () =>
+        runAttempt(grant.delegate(), levels - 1) ||
+        retryUntilServed(grant, levels - 1),
     );
   }
 
-  const grant = createRetryGrant(tree.boundCount, tree.lendingRule);
+  const grant = createRetryGrant(tree.boundCount, tree.delegationRule);
   const isServed =
-    answer(grant.delegate(), tree.depth - 1) || retry(grant, tree.depth - 1);
+    runAttempt(grant.delegate(), tree.depth - 1) ||
+    retryUntilServed(grant, tree.depth - 1);
   return {isServed, spentCount};
 }
 
-const lendHalf: DelegationRule = count => Math.ceil(count / 2);
-const lendAll: DelegationRule = count => count;
+const delegateHalf: DelegationRule = count => Math.ceil(count / 2);
+const delegateAll: DelegationRule = count => count;
 
 test('retries stay within the bound over the whole tree', t => {
-  // Symptom: one request causes many times the allowed retries. Answers are
-  // lost, counts arrive twice or after the loan was written off. Cause: a
-  // count that is copied, or returned more than once, multiplies.
-  const settleBadly: Settle = (loan, unspentCount, isLost) => {
-    settleOnce(loan, unspentCount, isLost);
-    loan.reclaim(unspentCount);
-    loan.discard();
-    loan.reclaim(loan.count);
+  // Guards against a request that causes many times the allowed retries:
+  // responses are lost, counts arrive twice or after the retries were
+  // discarded, and a count that is copied, or returned more than once,
+  // multiplies.
+  const returnRepeatedly: ReturnRetries = (delegated, unspentCount, isLost) => {
+    returnOnce(delegated, unspentCount, isLost);
+    delegated.reclaim(unspentCount);
+    delegated.discard();
+    delegated.reclaim(delegated.count);
   };
   fc.assert(
     fc.property(
@@ -101,15 +114,19 @@
         boundCount: fc.nat(6),
         refusedRatio: fc.constantFrom(0, 0.1, 0.5),
         lostRatio: fc.constantFrom(0, 0.1, 0.5),
-        lendingRule: fc.constantFrom(delegateAllButOne, lendHalf, lendAll),
+        delegationRule: fc.constantFrom(
+          delegateAllButOne,
+          delegateHalf,
+          delegateAll,
+        ),
       }),
       fc.integer(),
       (tree, seed) => {
-        // A full tree of that size would take too long to walk.
+        // Traversing a full tree of that size would take too long.
         const depth =
           tree.fanOutCount > 2 ? Math.min(4, tree.depth) : tree.depth;
         const random = createSeededRandom(seed);
-        const result = runRequest({...tree, depth}, random, settleBadly);
+        const result = runRequest({...tree, depth}, random, returnRepeatedly);
         return result.spentCount <= tree.boundCount;
       },
     ),
@@ -118,7 +135,7 @@
   t.pass();
 });
 
-for (const [claimed, returned] of [
+for (const [reported, returned] of [
   [2, 2],
   [1.9, 1],
   [1e9, 3],
@@ -126,13 +143,13 @@
   [Number.NaN, 0],
   [Number.POSITIVE_INFINITY, 0],
 ] as const) {
-  test(`a claim of ${claimed} unspent of 3 lent returns ${returned}`, t => {
-    // Symptom: a request never stops retrying. A callee claims that more is
-    // unspent than it was lent. Cause: the claim is added unchecked.
+  test(`a report of ${reported} unspent of 3 delegated returns ${returned}`, t => {
+    // Guards against a request that never stops retrying: a callee reports more
+    // unspent retries than it received, and the report is added unchecked.
     const grant = createRetryGrant(4);
-    const loan = grant.delegate();
-    t.is(loan.count, 3);
-    loan.reclaim(claimed);
+    const delegated = grant.delegate();
+    t.is(delegated.count, 3);
+    delegated.reclaim(reported);
     t.is(grant.remaining(), 1 + returned);
   });
 }
@@ -145,13 +162,13 @@
   });
 }
 
-test('lending all but one serves most requests when some answers are lost', t => {
+test('delegating all but one serves most requests when some responses are lost', t => {
   const shapes = [1, 2, 3, 4, 5, 6, 7, 8].flatMap(depth =>
     [1, 2, 3, 4]
       .filter(fanOutCount => fanOutCount ** (depth - 1) <= 64)
       .map(fanOutCount => ({depth, fanOutCount})),
   );
-  const servedRatioOf = (lendingRule: DelegationRule): number => {
+  const servedRatioOf = (delegationRule: DelegationRule): number => {
     const random = createSeededRandom(11);
     let servedCount = 0;
     let requestCount = 0;
@@ -163,17 +180,19 @@
           boundCount: 4,
           refusedRatio: 0.01,
           lostRatio: 0.01,
-          lendingRule,
+          delegationRule,
         };
         requestCount += 1;
-        if (runRequest(tree, random, settleOnce).isServed) servedCount += 1;
+        if (runRequest(tree, random, returnOnce).isServed) servedCount += 1;
       }
     }
     return servedCount / requestCount;
   };
-  const [allButOne, half, all] = [delegateAllButOne, lendHalf, lendAll].map(
-    servedRatioOf,
-  ) as [number, number, number];
+  const [allButOne, half, all] = [
+    delegateAllButOne,
+    delegateHalf,
+    delegateAll,
+  ].map(servedRatioOf) as [number, number, number];
   t.log(`all but one ${allButOne}, half ${half}, all ${all}`);
   t.true(allButOne > half && half > all);
 });
