--- a/src/process/membership/configuration_holder.ts
+++ b/src/process/membership/configuration_holder.ts
@@ -1,14 +1,15 @@
 /**
- * The newest configuration a node has seen; an older one never replaces it.
+ * Holds the newest configuration that a node has received; an older one never
+ * replaces it.
  */
 import type {RouteTable} from '../../version/route_table.js';
 
-/** What became of an offered configuration. */
+/** Result of an update; only a newer version is accepted. */
 export type ConfigurationUpdateResult = 'accepted' | 'not-newer';
 
-/** Holds the configuration in force. */
+/** Holds the active configuration. */
 export interface ConfigurationHolder {
-  /** `undefined` until the first one was accepted. */
+  /** `undefined` until the first configuration was accepted. */
   current(): RouteTable | undefined;
   update(table: RouteTable): ConfigurationUpdateResult;
 }
@@ -19,8 +20,8 @@
   return {
     current: () => current,
     update: table => {
-      // A read that was answered late may bring an older version after a newer
-      // one; requests would then follow routes that were already withdrawn.
+      // A delayed read may return an older version after a newer one; requests
+      // would then follow routes that were already removed.
       if (current !== undefined && table.version <= current.version) {
         return 'not-newer';
       }
--- a/src/process/membership/departed_upstreams.ts
+++ b/src/process/membership/departed_upstreams.ts
@@ -1,34 +1,39 @@
 /**
- * Remembers the starts of upstreams that have left, and recognizes entries that say
- * nothing new about them.
+ * Records the last entries of upstreams that have left, and detects outdated
+ * entries of these upstreams.
  *
- * Load pattern: the source is restored from an older copy, which lists upstreams
- * again that have left since. Taken for new ones they would get requests, though
- * this node knew that they had left.
+ * Load pattern: the source is restored from an older copy, which lists
+ * upstreams that have left since. Treated as new ones they would get requests,
+ * although this node had recorded that they left.
  */
 import type {UpstreamEntry} from './upstream_entry.js';
 import {compareStarts} from './upstream_start.js';
 
-/** Starts that have left, by id. */
+/** Upstreams that have left, by id. */
 export interface DepartedUpstreams {
   add(entry: UpstreamEntry): void;
-  /** There is a later entry under this id. */
+  /** Removes an id for which there is a later entry. */
   delete(id: string): void;
   has(id: string): boolean;
-  /** Whether an entry is no later than what its start had published as it left. */
+  /**
+   * Returns whether an entry is no newer than the last one before its start
+   * left.
+   */
   isOutdated(entry: UpstreamEntry): boolean;
 }
 
-/** Starts remembered; requests for them arrive for seconds only. */
-const LEFT_STARTS_COUNT = 256;
+/**
+ * Maximum upstreams recorded; requests for them arrive for a few seconds only.
+ */
+const MAX_DEPARTED_COUNT = 256;
 
-/** Creates a memory without starts. */
+/** Creates an empty record. */
 export function createDepartedUpstreams(): DepartedUpstreams {
   const lastEntries = new Map<string, UpstreamEntry>();
   return {
     add: entry => {
       lastEntries.set(entry.id, entry);
-      if (lastEntries.size <= LEFT_STARTS_COUNT) return;
+      if (lastEntries.size <= MAX_DEPARTED_COUNT) return;
       for (const oldestId of lastEntries.keys()) {
         lastEntries.delete(oldestId);
         return;
@@ -53,7 +58,7 @@
   };
 }
 
-/** A publisher that does not count its entries publishes nothing new with another. */
+/** Without sequence numbers, no entry of a start is newer than another. */
 function sequenceOf({sequenceNumber}: UpstreamEntry): number {
   return sequenceNumber ?? 0;
 }
--- a/src/process/membership/document_cache.ts
+++ b/src/process/membership/document_cache.ts
@@ -1,9 +1,10 @@
 /**
- * The published documents as this node knows them, for nodes that ask it.
+ * Cache of the published documents of this node, for the polls of other nodes.
  *
  * Load pattern: the source drops its history, and the one node of a zone that
- * watches reads all documents. Told nothing but the changes of its watches, all
- * others would read them as well, each in several calls.
+ * watches it reads all documents. If only the changes of its watches were
+ * relayed, all other nodes would have to read all documents as well, each in
+ * several calls.
  */
 import type {
   DocumentChange,
@@ -12,32 +13,36 @@
 } from './document_source.js';
 import {NO_POSITION} from './document_source.js';
 
-/** Documents of one node, up to a position. */
+/** Documents of one node up to a position. */
 export interface DocumentCache {
   readonly position: SourcePosition;
-  /** All documents were read. */
+  /** Replaces the documents with a read of all of them. */
   recordRead(read: DocumentBatch): void;
-  /** Changes lead on from the position. */
+  /** Applies changes that follow the current position. */
   recordChanges(read: DocumentBatch): void;
-  /** Changes after a position; `undefined` if some of them are not known. */
+  /**
+   * Returns the changes after a position; `undefined` if some of them are
+   * unknown.
+   */
   changesSince(position: SourcePosition): readonly DocumentChange[] | undefined;
 }
 
-/** Deletions that are remembered; who is further behind reads all documents. */
+/** Maximum deletions kept; a node further behind has to read all documents. */
 const MAX_DELETIONS_COUNT = 500;
 
-/** Creates the documents of a node that has read nothing. */
+/** Creates an empty cache. */
 export function createDocumentCache(): DocumentCache {
   let documents = new Map<string, DocumentChange>();
   let deletions: DocumentChange[] = [];
-  /** From where on all deletions are known. */
-  let floorRevision = 0;
+  /** Revision after which all deletions are known. */
+  let deletionsFromRevision = 0;
   let position = NO_POSITION;
 
-  const noteDeletion = (key: string, revision: number): void => {
+  const recordDeletion = (key: string, revision: number): void => {
     deletions.push({key, revision, text: undefined});
     if (deletions.length <= MAX_DELETIONS_COUNT) return;
-    floorRevision = deletions.shift()?.revision ?? floorRevision;
+    deletionsFromRevision =
+      deletions.shift()?.revision ?? deletionsFromRevision;
   };
 
   return {
@@ -45,15 +50,15 @@
       return position;
     },
     recordRead: read => {
-      const before = documents;
+      const previous = documents;
       documents = new Map(read.documents.map(item => [item.key, item]));
-      if (read.position.epoch === position.epoch && floorRevision > 0) {
-        for (const key of before.keys()) {
-          if (!documents.has(key)) noteDeletion(key, read.position.revision);
+      if (read.position.epoch === position.epoch && deletionsFromRevision > 0) {
+        for (const key of previous.keys()) {
+          if (!documents.has(key)) recordDeletion(key, read.position.revision);
         }
       } else {
         deletions = [];
-        floorRevision = read.position.revision;
+        deletionsFromRevision = read.position.revision;
       }
       position = read.position;
     },
@@ -61,18 +66,18 @@
       for (const change of read.documents) {
         if (change.text === undefined) {
           documents.delete(change.key);
-          noteDeletion(change.key, change.revision);
+          recordDeletion(change.key, change.revision);
         } else {
           documents.set(change.key, change);
         }
       }
       position = read.position;
     },
-    changesSince: asked => {
-      if (asked.epoch !== position.epoch) return undefined;
-      if (asked.revision < floorRevision) return undefined;
+    changesSince: from => {
+      if (from.epoch !== position.epoch) return undefined;
+      if (from.revision < deletionsFromRevision) return undefined;
       return [...deletions, ...documents.values()]
-        .filter(({revision}) => revision > asked.revision)
+        .filter(({revision}) => revision > from.revision)
         .sort((a, b) => a.revision - b.revision);
     },
   };
--- a/src/process/membership/document_relay.ts
+++ b/src/process/membership/document_relay.ts
@@ -1,32 +1,34 @@
 /**
- * Changes of the published documents that come from another node.
+ * Relay of changes of the published documents between nodes.
  */
 import type {DocumentBatch, SourcePosition} from './document_source.js';
 
-/** How a poll of another node ended. */
+/** Result of polling another node. */
 export type RelayPollResult =
-  /** It is this node that watches the source. */
+  /** This node is the one that watches the source. */
   | 'watch'
-  /** The node that was asked did not answer, or does not watch itself. */
+  /** The polled node did not respond, or does not watch the source. */
   | 'failed'
-  /** It knows more, but not all that this one lacks: a read is required. */
+  /**
+   * The polled node is ahead but lacks some of the changes: a read is required.
+   */
   | 'read'
-  /** The changes that it sent. */
+  /** The changes that the polled node sent. */
   | DocumentBatch;
 
-/** Gets changes from other nodes. */
+/** Polls other nodes for changes, and keeps changes for their polls. */
 export interface DocumentRelay {
   /**
-   * Asks the node whose turn it is for what came after a position; `isSourceLost`:
-   * this node cannot watch itself.
+   * Polls the selected node for the changes after a position. `isSourceLost`:
+   * this node cannot watch the source itself.
    */
   poll(
     position: SourcePosition,
     isSourceLost: boolean,
   ): Promise<RelayPollResult>;
-  /** Whether this node's own watches of the source go well from now on. */
+  /** Sets whether this node's own watches of the source succeed. */
   setWatching(isWatching: boolean): void;
-  /** All documents were read. */
+  /** Records a read of all documents. */
   recordRead(read: DocumentBatch): void;
   recordChanges(read: DocumentBatch): void;
 }
--- a/src/process/membership/document_source.ts
+++ b/src/process/membership/document_source.ts
@@ -1,11 +1,11 @@
 /**
- * Source of published documents, which can be read and watched.
+ * Source of published documents that can be read and watched.
  */
 
 /**
- * A moment in the life of a source. Revisions count the changes of one epoch; a
- * source that is restored from an older copy begins the next epoch, and gives
- * revisions out again that it had given out after the copy was made.
+ * A position in the history of a source. Revisions count the changes of one
+ * epoch. A source that is restored from an older copy begins the next epoch,
+ * and reuses the revisions that it had assigned after the copy was made.
  */
 export interface SourcePosition {
   /** 0 for a source without epochs. */
@@ -13,10 +13,10 @@
   readonly revision: number;
 }
 
-/** Before everything that a source holds. */
+/** Position before the first change of a source. */
 export const NO_POSITION: SourcePosition = {epoch: 0, revision: 0};
 
-/** Whether one moment of a source is after another one. */
+/** Returns whether a position is later than another one. */
 export function isLaterPosition(
   position: SourcePosition,
   other: SourcePosition,
@@ -25,7 +25,7 @@
   return position.revision > other.revision;
 }
 
-/** The later one of two. */
+/** Returns the later of two positions. */
 export function laterPosition(
   position: SourcePosition,
   other: SourcePosition,
@@ -33,30 +33,30 @@
   return isLaterPosition(position, other) ? position : other;
 }
 
-/** A document as it was written, or the fact that it was deleted. */
+/** A written or deleted document. */
 export interface DocumentChange {
   readonly key: string;
-  /** Revision of the source at which this was written. */
+  /** Source revision of the write or deletion. */
   readonly revision: number;
   /** `undefined` if the document was deleted. */
   readonly text: string | undefined;
 }
 
-/** What one call returned. */
+/** Documents that one read or watch returned. */
 export interface DocumentBatch {
   readonly documents: readonly DocumentChange[];
-  /** To watch from. */
+  /** Position to start the next watch from. */
   readonly position: SourcePosition;
 }
 
 /** Reads documents below a key prefix. */
 export interface DocumentSource {
-  /** All documents of now. */
+  /** Returns all current documents. */
   read(prefix: string): Promise<DocumentBatch>;
   /**
-   * Changes after a revision, as soon as there is one; rejects when the signal
-   * aborts it. The epoch of the answer may be another one than the revision's:
-   * its changes then leave out what was written in between.
+   * Returns the changes after a revision as soon as there are any; rejects when
+   * the signal aborts it. The epoch of the result may differ from the
+   * revision's: the changes then omit what was written in between.
    */
   watch(
     prefix: string,
--- a/src/process/membership/known_upstream.ts
+++ b/src/process/membership/known_upstream.ts
@@ -1,13 +1,13 @@
 /**
- * An upstream as the directory of a node knows it.
+ * An upstream in the directory of a node.
  */
 import type {UpstreamEntry} from './upstream_entry.js';
 
-/** A published entry and when this node learned it. */
+/** A published entry with the times at which this node received it. */
 export interface KnownUpstream {
   readonly entry: UpstreamEntry;
-  /** Until when the upstream is slow after its start. */
+  /** End of the upstream's slow period after its start. */
   readonly coldUntilMillis: number;
-  /** When this node first saw an entry of this start. */
+  /** Time at which this node first received an entry of this start. */
   readonly firstSeenMillis: number;
 }
--- a/src/process/membership/missing_upstreams.ts
+++ b/src/process/membership/missing_upstreams.ts
@@ -1,56 +1,58 @@
 /**
- * Upstreams whose entries are not there, and until when they stay in use.
+ * Tracks upstreams whose entries are missing, and until when they stay in use.
  *
- * Load pattern: the source of documents is away, or comes back from an older copy.
- * Entries lapsed meanwhile, or were never in the copy, and their upstreams live and
- * write them again. Taken for upstreams that have left, a whole service would be
- * out of use for a second or two.
+ * Load pattern: the source of documents is unavailable, or is restored from an
+ * older copy. Entries expired meanwhile, or were never in the copy, although
+ * their upstreams are alive and write them again. If these upstreams were
+ * treated as departed, a whole service would be out of use for a second or two.
  */
 
-/** What a missing entry means. */
+/** State of an upstream whose entry is missing. */
 export type MissingEntryState = 'gone' | 'kept' | 'awaited';
 
-/** Upstreams whose entries are missing. */
+/** Tracks the upstreams whose entries are missing. */
 export interface MissingUpstreams {
   readonly count: number;
   /**
-   * An entry is missing; its removal was reported, or a read did not bring it.
-   * `awaited` if it was missing before.
+   * Records that an entry is missing: its removal was reported, or a read did
+   * not return it. Returns `awaited` if it was missing before.
    */
   markMissing(id: string, wasRemoved: boolean): MissingEntryState;
-  /** The entry is there, or its upstream has been removed. */
+  /**
+   * Stops tracking: the entry is present again, or its upstream was removed.
+   */
   forget(id: string): void;
-  /** Ids of those whose grace period is over. */
+  /** Returns the ids of upstreams whose grace period is over. */
   expiredIds(): readonly string[];
   markSourceLost(): void;
   markSourceRecovered(): void;
-  /** The source came back from an older copy. */
+  /** Records that the source was restored from an older copy. */
   markSourceRestored(): void;
 }
 
 interface Missing {
   readonly untilMillis: number;
-  /** Its removal was reported; otherwise a read did not bring it. */
+  /** Its removal was reported; otherwise a read did not return it. */
   readonly wasRemoved: boolean;
 }
 
-/** A loss of the source shorter than this lets no entry lapse. */
-const LAPSE_MILLIS = 1000;
+/** An outage of the source shorter than this does not let entries expire. */
+const MIN_EXPIRY_OUTAGE_MILLIS = 1000;
 
 /**
- * How long an entry that vanished while the source was away stays in use after
- * the source's return: entries that lapsed meanwhile, or that an older copy does
- * not hold, are back within two seconds if the upstream lives; one that is still
- * missing then is gone.
+ * Grace period, after the source's return, of an entry that disappeared during
+ * an outage: entries that expired meanwhile, or that an older copy lacks, are
+ * written again within two seconds if the upstream is alive; one that is still
+ * missing then has left.
  */
 export const REAPPEAR_GRACE_MILLIS = 2000;
 
 /**
- * The same for an entry whose removal was reported after the return: it may have
- * lapsed, or its upstream has left and must get nothing two seconds later. Less
- * than that by the half second between two looks at what has aged.
+ * The same for an entry whose removal was reported after the return: it may
+ * have expired, or its upstream has left and must get no requests two seconds
+ * later. Shorter than that by the half second between two expiry checks.
  */
-const LAPSED_MILLIS = 1400;
+const REMOVED_GRACE_MILLIS = 1400;
 
 /** Creates an empty tracker. */
 export function createMissingUpstreams(
@@ -58,16 +60,19 @@
 ): MissingUpstreams {
   const missing = new Map<string, Missing>();
   let lostSinceMillis: number | undefined;
-  let keepUntilMillis = 0;
+  let graceEndMillis = 0;
 
   /**
-   * Who is awaited cannot write while the source is away, or is written over by its
-   * copy. Let go at the first deadline, upstreams that live were out of use.
+   * Upstreams cannot write their entries while the source is unavailable, or
+   * its copy overwrites them. At the original deadline, live upstreams would be
+   * removed.
    */
-  const extend = (extended: (untilMillis: number) => number): void => {
+  const extendGracePeriods = (
+    newEndOf: (untilMillis: number) => number,
+  ): void => {
     for (const [id, {untilMillis, wasRemoved}] of missing) {
       if (wasRemoved) continue;
-      missing.set(id, {untilMillis: extended(untilMillis), wasRemoved});
+      missing.set(id, {untilMillis: newEndOf(untilMillis), wasRemoved});
     }
   };
 
@@ -77,11 +82,13 @@
     },
     markMissing: (id, wasRemoved) => {
       const now = nowMillis();
-      const before = missing.get(id);
-      if (now >= (before?.untilMillis ?? keepUntilMillis)) return 'gone';
-      if (before !== undefined) return 'awaited';
-      const keptMillis = wasRemoved ? LAPSED_MILLIS : REAPPEAR_GRACE_MILLIS;
-      const untilMillis = Math.min(keepUntilMillis, now + keptMillis);
+      const previous = missing.get(id);
+      if (now >= (previous?.untilMillis ?? graceEndMillis)) return 'gone';
+      if (previous !== undefined) return 'awaited';
+      const graceMillis = wasRemoved
+        ? REMOVED_GRACE_MILLIS
+        : REAPPEAR_GRACE_MILLIS;
+      const untilMillis = Math.min(graceEndMillis, now + graceMillis);
       missing.set(id, {untilMillis, wasRemoved});
       return 'kept';
     },
@@ -90,7 +97,7 @@
     },
     expiredIds: () => {
       const now = nowMillis();
-      // While the source is unavailable no return can be reported.
+      // An unavailable source cannot report that an entry is present again.
       const isLost = lostSinceMillis !== undefined;
       return [...missing]
         .filter(([, entry]) => entry.wasRemoved || !isLost)
@@ -102,16 +109,16 @@
     },
     markSourceRecovered: () => {
       const now = nowMillis();
-      const lostMillis = now - (lostSinceMillis ?? now);
+      const outageMillis = now - (lostSinceMillis ?? now);
       lostSinceMillis = undefined;
-      extend(untilMillis => untilMillis + lostMillis);
-      if (lostMillis > LAPSE_MILLIS) {
-        keepUntilMillis = now + REAPPEAR_GRACE_MILLIS;
+      extendGracePeriods(untilMillis => untilMillis + outageMillis);
+      if (outageMillis > MIN_EXPIRY_OUTAGE_MILLIS) {
+        graceEndMillis = now + REAPPEAR_GRACE_MILLIS;
       }
     },
     markSourceRestored: () => {
-      keepUntilMillis = nowMillis() + REAPPEAR_GRACE_MILLIS;
-      extend(() => keepUntilMillis);
+      graceEndMillis = nowMillis() + REAPPEAR_GRACE_MILLIS;
+      extendGracePeriods(() => graceEndMillis);
     },
   };
 }
--- a/src/process/membership/peer_positions.ts
+++ b/src/process/membership/peer_positions.ts
@@ -1,12 +1,12 @@
 /**
- * What other nodes report of the position up to which they have the published
- * documents in force.
+ * Tracks the positions up to which other nodes report that they have applied
+ * the published documents.
  *
  * Load pattern: the source drops its history while a version is published. A
- * watch that begins at that moment may hear nothing until its wait is over, and
- * this node would serve by an older version than the rest of the fleet for that
- * long. Others that were told say so with every message, so that it can be
- * noticed without more calls to the source.
+ * watch that begins at that moment may get no response until its timeout, and
+ * this node would use an older version than the rest of the fleet for that
+ * long. Nodes that were notified report their position with every message, so
+ * this is detected without further calls to the source.
  */
 import type {Disposable} from '../../base/lifecycle.js';
 import {toDisposable} from '../../base/lifecycle.js';
@@ -17,53 +17,62 @@
   NO_POSITION,
 } from './document_source.js';
 
-/** Positions of one node. */
+/** Applied and reported positions of one node. */
 export interface PeerPositions {
-  /** Position up to which documents are in force here; none before the first read. */
+  /**
+   * Position up to which this node has applied documents; `NO_POSITION` before
+   * the first read.
+   */
   readonly applied: SourcePosition;
-  /** Another node has later documents in force than this one. */
+  /** Whether another node has applied later documents than this one. */
   readonly isStale: boolean;
-  /** Another node has documents up to this position in force, or reports none. */
+  /** Records the position that another node reports, if it reports one. */
   recordPeerPosition(position: SourcePosition | undefined): void;
-  /** A watch has brought everything up to this position. */
+  /** Records that a watch has returned everything up to this position. */
   recordWatched(position: SourcePosition): void;
-  /** A read has: whoever told of a later one is ahead of the source, or wrong. */
+  /**
+   * Records a read up to this position, and drops later reported ones: the node
+   * that reported one is ahead of the source, or wrong.
+   */
   recordRead(position: SourcePosition): void;
-  /** Calls the listener once this node is behind another one; at once if it is. */
+  /**
+   * Calls the listener once this node is behind another one; immediately if it
+   * already is.
+   */
   onStale(listener: () => void): Disposable;
 }
 
-/** Creates the positions of a node that has read nothing. */
+/** Creates the positions of a node that has not read any documents. */
 export function createPeerPositions(): PeerPositions {
   const listeners = new Set<() => void>();
-  let known = NO_POSITION;
-  let told = NO_POSITION;
+  let applied = NO_POSITION;
+  let remote = NO_POSITION;
 
-  const isStale = (): boolean => isLaterPosition(told, known);
+  const isStale = (): boolean => isLaterPosition(remote, applied);
 
   return {
     get applied() {
-      return known;
+      return applied;
     },
     get isStale() {
       return isStale();
     },
     recordPeerPosition: position => {
-      if (position === undefined || !isLaterPosition(position, told)) return;
-      told = position;
+      if (position === undefined || !isLaterPosition(position, remote)) return;
+      remote = position;
       if (!isStale()) return;
-      const waiting = [...listeners];
+      const pendingListeners = [...listeners];
       listeners.clear();
-      for (const listener of waiting) listener();
+      for (const listener of pendingListeners) listener();
     },
     recordWatched: position => {
-      known = laterPosition(position, known);
+      applied = laterPosition(position, applied);
     },
     recordRead: position => {
-      known = position;
-      // A position that the source does not bear out would cause one read after
-      // the other.
-      if (isLaterPosition(told, position)) told = position;
+      applied = position;
+      // A position that the source does not confirm would cause one read after
+      // another.
+      if (isLaterPosition(remote, position)) remote = position;
     },
     onStale: listener => {
       if (isStale()) listener();
--- a/src/process/membership/published_documents.ts
+++ b/src/process/membership/published_documents.ts
@@ -1,33 +1,39 @@
 /**
- * The documents that a deployment publishes for nodes, and how to read them.
+ * The documents that a deployment publishes for nodes, and their decoding.
  */
 import type {RouteTable} from '../../version/route_table.js';
 import type {DocumentChange, DocumentSource} from './document_source.js';
 import type {UpstreamEntry} from './upstream_entry.js';
 
-/** A decoded document. */
+/** Result of decoding a document. */
 export type Decoded<T> =
   | {readonly kind: 'valid'; readonly value: T}
   | {
       readonly kind: 'invalid';
       readonly reason: string;
-      /** The first field that cannot be used, where one can be named. */
+      /** The first invalid field, if one can be identified. */
       readonly field?: string;
     }
-  /** The document is not of this kind. */
+  /** The document is of another kind. */
   | {readonly kind: 'other'};
 
-/** Source of documents with the decoding of each kind. */
+/** Source of documents, with a decoder for each kind. */
 export interface PublishedDocuments {
   readonly source: DocumentSource;
   readonly configurationPrefix: string;
   readonly upstreamsPrefix: string;
-  /** Prefix of both, if one watch brings both; each has its own otherwise. */
+  /**
+   * Common prefix if one watch covers both kinds; otherwise each has its own
+   * watch.
+   */
   readonly sharedPrefix: string | undefined;
-  /** One document lists all upstreams, so that who is missing has left. */
+  /**
+   * Whether one document lists all upstreams: one that is missing has then
+   * left.
+   */
   readonly listsAllUpstreams: boolean;
   decodeConfiguration(change: DocumentChange): Decoded<RouteTable>;
   decodeUpstreams(change: DocumentChange): Decoded<readonly UpstreamEntry[]>;
-  /** Id of the upstream that a key belongs to, where each has its own. */
+  /** Returns the upstream id of a key, where each upstream has its own key. */
   upstreamIdOf(key: string): string;
 }
--- a/src/process/membership/reply_timeout.ts
+++ b/src/process/membership/reply_timeout.ts
@@ -1,37 +1,37 @@
 /**
- * How long another node is waited for before its silence means something.
+ * Adaptive timeout for the replies of other nodes.
  *
- * Load pattern: a fleet short of processors replies within seconds, and nodes
- * that are merely busy are taken for lost beside those that are cut off. So the
- * bound grows with the time in which nodes reply. It does not shrink with
- * it: quick replies of a calm fleet say nothing of a busy one.
+ * Load pattern: a fleet short of CPU replies within seconds, and nodes that are
+ * only busy are marked as lost along with unreachable ones. So the timeout
+ * grows with the observed reply times. It does not fall below its minimum: fast
+ * replies of an idle fleet do not predict those of a busy one.
  */
 
-/** Bound of one node, over all others. */
+/** Timeout of one node for the replies of all others. */
 export interface ReplyTimeout {
-  /** A node that was asked replied after this time. */
+  /** Records the reply time of a node. */
   observe(millis: number): void;
-  /** A reply that takes longer does not come. */
+  /** Time after which a reply is no longer expected. */
   currentMillis(): number;
 }
 
-/** Replies before their time is trusted. */
+/** Replies required before their times are used. */
 const MIN_SAMPLES_COUNT = 8;
 
-/** Time for a fresh connection and the first word of a busy process. */
-const MIN_MILLIS = 400;
+/** Allows for a new connection and the first reply of a busy process. */
+const MIN_TIMEOUT_MILLIS = 400;
 
-/** Beyond this, a request has no time left to go elsewhere. */
-const MAX_MILLIS = 1500;
+/** Beyond this, a request has no time left to be sent to another node. */
+const MAX_TIMEOUT_MILLIS = 1500;
 
-/** Weight of one new sample in the mean and in the mean deviation. */
+/** Weight of a new sample in the mean and in the mean deviation. */
 const SAMPLE_WEIGHT = 1 / 16;
 
-/** Mean deviations beyond the mean, and how many times that is waited for. */
+/** Mean deviations added to the mean, and the factor applied to the sum. */
 const DEVIATIONS_COUNT = 4;
 const SAFETY_RATIO = 3;
 
-/** Creates a bound that has seen no replies. */
+/** Creates a timeout without samples. */
 export function createReplyTimeout(): ReplyTimeout {
   let samplesCount = 0;
   let meanMillis = 0;
@@ -45,11 +45,11 @@
       deviationMillis += (Math.abs(distanceMillis) - deviationMillis) * weight;
     },
     currentMillis: () => {
-      if (samplesCount < MIN_SAMPLES_COUNT) return MIN_MILLIS;
-      const slowMillis = meanMillis + DEVIATIONS_COUNT * deviationMillis;
+      if (samplesCount < MIN_SAMPLES_COUNT) return MIN_TIMEOUT_MILLIS;
+      const upperMillis = meanMillis + DEVIATIONS_COUNT * deviationMillis;
       return Math.min(
-        MAX_MILLIS,
-        Math.max(MIN_MILLIS, slowMillis * SAFETY_RATIO),
+        MAX_TIMEOUT_MILLIS,
+        Math.max(MIN_TIMEOUT_MILLIS, upperMillis * SAFETY_RATIO),
       );
     },
   };
--- a/src/process/membership/upstream_directory.ts
+++ b/src/process/membership/upstream_directory.ts
@@ -1,5 +1,5 @@
 /**
- * The upstreams a node knows, by service, with what is published about each.
+ * Directory of the upstreams that a node knows, with their published entries.
  */
 import {
   createMissingUpstreams,
@@ -12,88 +12,101 @@
 import {indexUpstreams} from './upstream_index.js';
 import {compareStarts} from './upstream_start.js';
 
-/** A change that deserves a log line. */
+/** A change to be logged. */
 export interface DirectoryChange {
   readonly kind:
     | 'joined'
-    /** There again under the same id, with nothing of before. */
+    /**
+     * Started again under the same id; no state of the previous start is kept.
+     */
     | 'restarted'
     | 'draining'
     | 'ready'
     | 'left'
-    /** Missing, and still in use until it may have reappeared. */
+    /**
+     * The entry is missing; the upstream stays in use until its grace period
+     * ends.
+     */
     | 'kept'
-    /** Its entry was replaced by one that is not its own. */
+    /** The entry was overwritten by one that is not its own. */
     | 'contested'
-    /** A later start runs at its host. */
+    /** A later start runs on its host. */
     | 'superseded'
-    /** No configuration names its service; it waits for one that does. */
+    /** Its service is not configured; the upstream is unused until it is. */
     | 'unnamed';
   readonly entry: UpstreamEntry;
 }
 
-/** Directory of upstreams. */
 export interface UpstreamDirectory {
-  /** Takes new or changed entries. */
+  /** Adds new or changed entries. */
   put(entries: readonly UpstreamEntry[]): void;
-  /** Notes that entries under these ids cannot be used. */
+  /** Records that the entries under these ids cannot be used. */
   markContested(ids: readonly string[]): void;
   remove(ids: readonly string[]): void;
-  /** Replaces all; ids that are missing, and not contested, have left. */
+  /**
+   * Replaces all entries; ids that are missing, and not contested, have left.
+   */
   replaceAll(
     entries: readonly UpstreamEntry[],
     contestedIds?: readonly string[],
   ): void;
-  /** Records that the source does not answer. */
+  /** Records that the source is unavailable. */
   markSourceLost(): void;
-  /** Records that the source answers again after a loss. */
+  /** Records that the source is available again. */
   markSourceRecovered(): void;
   /** Records that the source was restored from an older copy. */
   markSourceRestored(): void;
-  /** Looks again at which services are named. */
+  /** Updates the lookups after a change of the configured services. */
   reindex(): void;
-  /** Forgets entries whose time to reappear is over. */
+  /** Removes upstreams whose grace period is over. */
   removeExpired(): void;
-  /** Upstreams of a service that may take new work. */
+  /** Returns the upstreams of a service that accept new requests. */
   listReady(service: string): readonly KnownUpstream[];
   find(id: string): KnownUpstream | undefined;
-  /** Whether an upstream was known and has left, or a later one has its host. */
+  /** Returns whether an upstream was known and has left or was superseded. */
   hasLeft(id: string): boolean;
-  /** The latest upstream of each host. */
+  /** Returns the latest upstream of each host. */
   hosts(): Iterable<KnownUpstream>;
-  /** The latest upstream of a host. */
+  /** Returns the latest upstream of a host. */
   findByHost(hostKey: string): KnownUpstream | undefined;
-  /** Upstreams of all services, one for each node of the fleet. */
+  /**
+   * Returns the number of upstreams of all services, one per node of the fleet.
+   */
   count(): number;
 }
 
-/** What a directory needs. */
 export interface UpstreamDirectoryOptions {
   readonly nowMillis: () => number;
-  /** Called when lookups show the change already. */
+  /** Called after the lookups reflect the change. */
   readonly onChange: (change: DirectoryChange) => void;
-  /** Whether the configuration in force names a service; left out, it names all. */
+  /**
+   * Returns whether a service is in the active configuration; all are by
+   * default.
+   */
   readonly isServiceConfigured?: (service: string) => boolean;
   /** Interval at which an upstream writes its entry. */
   readonly heartbeatMillis?: number | undefined;
-  /** Called whenever lookups may show something new. */
+  /** Called whenever the lookups may have changed. */
   readonly onIndexed?: () => void;
 }
 
 /**
- * Heartbeats for which an upstream stays in use whose entry was overwritten: the
- * silence after which the platform itself drops an entry. One that lives writes
- * its own entry again with its next heartbeat.
+ * Heartbeats for which an upstream stays in use after its entry was
+ * overwritten: the time after which the platform itself drops an entry that is
+ * not renewed. A live upstream writes its own entry again with its next
+ * heartbeat.
  */
 const CONTESTED_HEARTBEATS_COUNT = 3;
 
-/** Heartbeat where the settings name none: that of the platform of today. */
+/** Heartbeat if the settings have none: that of the current platform. */
 const DEFAULT_HEARTBEAT_MILLIS = 1500;
 
 /** An upstream whose entry was overwritten. */
 interface Contest {
   readonly untilMillis: number;
-  /** Entry of an earlier start, which counts if the known one stays silent. */
+  /**
+   * Entry of an earlier start, used if the known start does not write again.
+   */
   readonly successor: UpstreamEntry | undefined;
 }
 
@@ -104,214 +117,236 @@
   const {nowMillis, isServiceConfigured = () => true} = options;
   const {heartbeatMillis = DEFAULT_HEARTBEAT_MILLIS} = options;
   const contestedMillis = heartbeatMillis * CONTESTED_HEARTBEATS_COUNT;
-  const known = new Map<string, KnownUpstream>();
+  const upstreams = new Map<string, KnownUpstream>();
   const missing = createMissingUpstreams(nowMillis);
   const contests = new Map<string, Contest>();
-  const leftStarts = createDepartedUpstreams();
+  const departedUpstreams = createDepartedUpstreams();
   let changes: DirectoryChange[] = [];
   let index: UpstreamIndex = indexUpstreams([], isServiceConfigured);
-  let copiedUntilMillis = 0;
+  let maybeCopiedUntilMillis = 0;
 
-  const note = (kind: DirectoryChange['kind'], entry: UpstreamEntry): void => {
+  const recordChange = (
+    kind: DirectoryChange['kind'],
+    entry: UpstreamEntry,
+  ): void => {
     changes.push({kind, entry});
   };
 
-  const noteNew = (
+  const recordNewIds = (
     kind: DirectoryChange['kind'],
     ids: ReadonlySet<string>,
     idsBefore: ReadonlySet<string>,
   ): void => {
     for (const id of ids) {
-      const upstream = known.get(id);
+      const upstream = upstreams.get(id);
       if (upstream !== undefined && !idsBefore.has(id)) {
-        note(kind, upstream.entry);
+        recordChange(kind, upstream.entry);
       }
     }
   };
 
-  /** Listeners look things up, so they are called when all is in place. */
-  const settle = (): void => {
-    const before = index;
-    index = indexUpstreams(known.values(), isServiceConfigured);
-    noteNew('superseded', index.supersededIds, before.supersededIds);
-    noteNew('unnamed', index.unconfiguredIds, before.unconfiguredIds);
-    const told = changes;
+  /**
+   * Updates the index before it calls listeners, because they use the lookups.
+   */
+  const reindexAndNotify = (): void => {
+    const previous = index;
+    index = indexUpstreams(upstreams.values(), isServiceConfigured);
+    recordNewIds('superseded', index.supersededIds, previous.supersededIds);
+    recordNewIds('unnamed', index.unconfiguredIds, previous.unconfiguredIds);
+    const pendingChanges = changes;
     changes = [];
-    for (const change of told) options.onChange(change);
+    for (const change of pendingChanges) options.onChange(change);
     options.onIndexed?.();
   };
 
-  const contestOne = (id: string, successor?: UpstreamEntry): void => {
-    const upstream = known.get(id);
+  const markOneContested = (id: string, successor?: UpstreamEntry): void => {
+    const upstream = upstreams.get(id);
     if (upstream === undefined) return;
     const contest = contests.get(id);
-    // A deadline that moved with each such entry would never come.
+    // A deadline extended by each such entry would never be reached.
     const untilMillis = contest?.untilMillis ?? nowMillis() + contestedMillis;
     contests.set(id, {untilMillis, successor});
-    if (contest === undefined) note('contested', upstream.entry);
+    if (contest === undefined) recordChange('contested', upstream.entry);
   };
 
-  const store = (entry: UpstreamEntry, before?: KnownUpstream): void => {
+  const setEntry = (entry: UpstreamEntry, previous?: KnownUpstream): void => {
     missing.forget(entry.id);
     contests.delete(entry.id);
-    leftStarts.delete(entry.id);
+    departedUpstreams.delete(entry.id);
     const now = nowMillis();
-    known.set(entry.id, {
+    upstreams.set(entry.id, {
       entry,
       coldUntilMillis: now + entry.coldLeftMillis,
-      firstSeenMillis: before?.firstSeenMillis ?? now,
+      firstSeenMillis: previous?.firstSeenMillis ?? now,
     });
   };
 
-  const noteState = (entry: UpstreamEntry, wasDraining: boolean): void => {
+  const recordStateChange = (
+    entry: UpstreamEntry,
+    wasDraining: boolean,
+  ): void => {
     if (entry.isDraining === wasDraining) return;
-    note(entry.isDraining ? 'draining' : 'ready', entry);
+    recordChange(entry.isDraining ? 'draining' : 'ready', entry);
   };
 
   /**
-   * Whether an entry may come from the copy that the source was restored from.
-   * Those of upstreams that have ended are not written any more, and the platform has
-   * dropped them after this time.
+   * Returns whether an entry may come from the copy that the source was
+   * restored from. Entries of upstreams that have exited are not renewed, and
+   * the platform has dropped them after this time.
    */
-  const mayBeCopied = (): boolean => nowMillis() < copiedUntilMillis;
+  const mayBeCopied = (): boolean => nowMillis() < maybeCopiedUntilMillis;
 
-  /** One start serves one service; an entry that names another is not its own. */
-  const losesName = (entry: UpstreamEntry, before: UpstreamEntry): boolean =>
-    isServiceConfigured(before.service) && !isServiceConfigured(entry.service);
+  /**
+   * A start serves one service; an entry for an unconfigured one is not its
+   * own.
+   */
+  const losesConfiguredService = (
+    entry: UpstreamEntry,
+    previous: UpstreamEntry,
+  ): boolean =>
+    isServiceConfigured(previous.service) &&
+    !isServiceConfigured(entry.service);
 
-  const putSameStart = (entry: UpstreamEntry, before: KnownUpstream): void => {
-    if (isOvertaken(entry, before.entry, mayBeCopied())) return;
-    if (losesName(entry, before.entry)) {
-      contestOne(entry.id);
+  const putSameStart = (
+    entry: UpstreamEntry,
+    previous: KnownUpstream,
+  ): void => {
+    if (isOutdated(entry, previous.entry, mayBeCopied())) return;
+    if (losesConfiguredService(entry, previous.entry)) {
+      markOneContested(entry.id);
       return;
     }
-    store(entry, before);
-    noteState(entry, before.entry.isDraining);
+    setEntry(entry, previous);
+    recordStateChange(entry, previous.entry.isDraining);
   };
 
   /**
-   * A restored copy may list a start that has ended, and that a later one under
-   * its id replaced since. It says nothing of the later one, and must not take its
-   * place once that one is silent.
+   * Returns whether an entry comes from a restored copy and is outdated: its
+   * start has ended, or was replaced by a later one with its id. Such an entry
+   * does not contest the later start, and must not replace it when that one
+   * stops writing.
    */
-  const isEarlierCopy = (entry: UpstreamEntry): boolean => {
+  const isOutdatedCopy = (entry: UpstreamEntry): boolean => {
     if (!mayBeCopied()) return false;
-    if (leftStarts.isOutdated(entry)) return true;
-    const before = known.get(entry.id);
+    if (departedUpstreams.isOutdated(entry)) return true;
+    const previous = upstreams.get(entry.id);
     return (
-      before !== undefined && compareStarts(entry, before.entry) === 'earlier'
+      previous !== undefined &&
+      compareStarts(entry, previous.entry) === 'earlier'
     );
   };
 
   const putOne = (entry: UpstreamEntry): void => {
-    const before = known.get(entry.id);
-    if (before === undefined) {
-      store(entry);
-      note('joined', entry);
+    const previous = upstreams.get(entry.id);
+    if (previous === undefined) {
+      setEntry(entry);
+      recordChange('joined', entry);
       return;
     }
-    switch (compareStarts(entry, before.entry)) {
+    switch (compareStarts(entry, previous.entry)) {
       case 'earlier':
-        contestOne(entry.id, entry);
+        markOneContested(entry.id, entry);
         return;
       case 'same':
-        putSameStart(entry, before);
+        putSameStart(entry, previous);
         return;
       default:
-        store(entry);
-        note('restarted', entry);
-        noteState(entry, false);
+        setEntry(entry);
+        recordChange('restarted', entry);
+        recordStateChange(entry, false);
     }
   };
 
-  const forget = (upstream: KnownUpstream): void => {
+  const removeUpstream = (upstream: KnownUpstream): void => {
     const {entry} = upstream;
     missing.forget(entry.id);
     contests.delete(entry.id);
-    known.delete(entry.id);
-    leftStarts.add(entry);
-    note('left', entry);
+    upstreams.delete(entry.id);
+    departedUpstreams.add(entry);
+    recordChange('left', entry);
   };
 
-  const removeOne = (id: string, wasRemoved: boolean): void => {
-    const upstream = known.get(id);
+  const markOneMissing = (id: string, wasRemoved: boolean): void => {
+    const upstream = upstreams.get(id);
     if (upstream === undefined) return;
-    const verdict = missing.markMissing(id, wasRemoved);
-    if (verdict === 'gone') forget(upstream);
-    if (verdict === 'kept') note('kept', upstream.entry);
+    const state = missing.markMissing(id, wasRemoved);
+    if (state === 'gone') removeUpstream(upstream);
+    if (state === 'kept') recordChange('kept', upstream.entry);
   };
 
-  const endContest = (id: string, contest: Contest): void => {
-    const upstream = known.get(id);
+  const expireContest = (id: string, contest: Contest): void => {
+    const upstream = upstreams.get(id);
     if (upstream === undefined || nowMillis() < contest.untilMillis) return;
-    forget(upstream);
+    removeUpstream(upstream);
     if (contest.successor !== undefined) putOne(contest.successor);
   };
 
   return {
     put: entries => {
       for (const entry of entries) {
-        if (!isEarlierCopy(entry)) putOne(entry);
+        if (!isOutdatedCopy(entry)) putOne(entry);
       }
-      settle();
+      reindexAndNotify();
     },
     markContested: ids => {
-      for (const id of ids) contestOne(id);
-      settle();
+      for (const id of ids) markOneContested(id);
+      reindexAndNotify();
     },
     remove: ids => {
-      for (const id of ids) removeOne(id, true);
-      settle();
+      for (const id of ids) markOneMissing(id, true);
+      reindexAndNotify();
     },
     replaceAll: (entries, contestedIds = []) => {
-      const current = entries.filter(entry => !isEarlierCopy(entry));
+      const current = entries.filter(entry => !isOutdatedCopy(entry));
       const present = new Set([
         ...current.map(entry => entry.id),
         ...contestedIds,
       ]);
       for (const entry of current) putOne(entry);
-      for (const id of contestedIds) contestOne(id);
-      for (const id of [...known.keys()]) {
-        if (!present.has(id)) removeOne(id, false);
+      for (const id of contestedIds) markOneContested(id);
+      for (const id of [...upstreams.keys()]) {
+        if (!present.has(id)) markOneMissing(id, false);
       }
-      settle();
+      reindexAndNotify();
     },
     markSourceLost: missing.markSourceLost,
     markSourceRecovered: missing.markSourceRecovered,
     markSourceRestored: () => {
       missing.markSourceRestored();
-      copiedUntilMillis = nowMillis() + REAPPEAR_GRACE_MILLIS + contestedMillis;
+      maybeCopiedUntilMillis =
+        nowMillis() + REAPPEAR_GRACE_MILLIS + contestedMillis;
     },
-    reindex: settle,
+    reindex: reindexAndNotify,
     removeExpired: () => {
       if (missing.count + contests.size === 0) return;
       for (const id of missing.expiredIds()) {
-        const upstream = known.get(id);
-        if (upstream !== undefined) forget(upstream);
+        const upstream = upstreams.get(id);
+        if (upstream !== undefined) removeUpstream(upstream);
       }
-      for (const [id, contest] of [...contests]) endContest(id, contest);
-      settle();
+      for (const [id, contest] of [...contests]) expireContest(id, contest);
+      reindexAndNotify();
     },
     listReady: service => index.readyByService.get(service) ?? [],
-    find: id => known.get(id),
-    hasLeft: id => leftStarts.has(id) || index.supersededIds.has(id),
+    find: id => upstreams.get(id),
+    hasLeft: id => departedUpstreams.has(id) || index.supersededIds.has(id),
     hosts: () => index.latestByHost.values(),
     findByHost: hostKey => index.latestByHost.get(hostKey),
-    count: () => known.size,
+    count: () => upstreams.size,
   };
 }
 
 /**
- * Whether one start has published something newer before. Without births an id that
- * starts again cannot be distinguished from one that goes on, and counts anew; a smaller
- * count is then an older entry only if it may come from a restored copy. Taken for
- * a new start there, an upstream that drains would get requests again.
+ * Returns whether the same start has already published a newer entry. Without
+ * start times, a restart under the same id cannot be distinguished from the
+ * previous start, and its sequence numbers begin again; a smaller number is
+ * then an older entry only if the entry may come from a restored copy. Treated
+ * as a restart in that case, a draining upstream would get requests again.
  */
-function isOvertaken(
+function isOutdated(
   entry: UpstreamEntry,
-  before: UpstreamEntry,
+  previous: UpstreamEntry,
   mayBeCopied: boolean,
 ): boolean {
   if (entry.bornMillis === undefined && !mayBeCopied) return false;
-  return (entry.sequenceNumber ?? 0) < (before.sequenceNumber ?? 0);
+  return (entry.sequenceNumber ?? 0) < (previous.sequenceNumber ?? 0);
 }
--- a/src/process/membership/upstream_index.ts
+++ b/src/process/membership/upstream_index.ts
@@ -1,25 +1,25 @@
 /**
- * Lookups over the known upstreams: who takes work for a service, and who runs
- * at a host.
+ * Lookups over the known upstreams: those ready for a service, and the latest
+ * one of a host.
  */
 import {compareStarts} from './upstream_start.js';
 import type {KnownUpstream} from './known_upstream.js';
 
-/** Lookups of one moment. */
+/** Snapshot of the lookups. */
 export interface UpstreamIndex {
   readonly readyByService: ReadonlyMap<string, readonly KnownUpstream[]>;
-  /** The latest start at each host. */
+  /** The latest start on each host. */
   readonly latestByHost: ReadonlyMap<string, KnownUpstream>;
-  /** Ids of upstreams at whose host a later one has started. */
+  /** Ids of upstreams on whose host a later one has started. */
   readonly supersededIds: ReadonlySet<string>;
-  /** Ids of upstreams whose service no configuration names. */
+  /** Ids of upstreams whose service is not configured. */
   readonly unconfiguredIds: ReadonlySet<string>;
 }
 
 /**
- * Indexes what is known. Upstreams of services that no configuration names take
- * no part: such an entry may come from another writer, and would push a live
- * upstream from its host.
+ * Indexes the known upstreams, except those of unconfigured services: such an
+ * entry may come from another writer, and would supersede a live upstream on
+ * its host.
  */
 export function indexUpstreams(
   known: Iterable<KnownUpstream>,
@@ -32,7 +32,7 @@
     if (isServiceNamed(service)) named.push(upstream);
     else unconfiguredIds.add(id);
   }
-  const latestByHost = latestOf(named);
+  const latestByHost = findLatestByHost(named);
   const supersededIds = new Set<string>();
   const readyByService = new Map<string, KnownUpstream[]>();
   for (const upstream of named) {
@@ -50,7 +50,7 @@
   return {readyByService, latestByHost, supersededIds, unconfiguredIds};
 }
 
-function latestOf(
+function findLatestByHost(
   upstreams: readonly KnownUpstream[],
 ): ReadonlyMap<string, KnownUpstream> {
   const latest = new Map<string, KnownUpstream>();
@@ -64,9 +64,9 @@
 }
 
 /**
- * Whether an upstream started after another one at the same host. Without births
- * the one seen first is the earlier one; of two that were seen in one read
- * nothing is known.
+ * Returns whether an upstream started after another one on the same host.
+ * Without start times, the one received first is the earlier one; the order of
+ * two from the same read is unknown.
  */
 function isLater(upstream: KnownUpstream, other: KnownUpstream): boolean {
   switch (compareStarts(upstream.entry, other.entry)) {
--- a/src/process/membership/upstream_start.ts
+++ b/src/process/membership/upstream_start.ts
@@ -2,21 +2,22 @@
  * Identity of one start of an upstream, and the order of two starts.
  */
 
-/** One start of one upstream. */
+/** One start (process run) of one upstream. */
 export interface UpstreamStart {
-  /** Id of the upstream, which it may keep when it starts again. */
+  /** Id of the upstream, which may stay the same across restarts. */
   readonly id: string;
-  /** Unix time of the start; `undefined` if its publisher omits it. */
+  /** Unix time of the start; `undefined` if the publisher omits it. */
   readonly bornMillis: number | undefined;
 }
 
-/** How one start stands to another one. */
+/** Order of one start relative to another. */
 export type StartOrder = 'same' | 'later' | 'earlier' | 'unknown';
 
 /**
- * Order of `start` against `other`, under one id or at one host. Births decide;
- * under one id a publisher that omits it is the older one. Two ids of which
- * one has no birth, or with the same birth, have no order.
+ * Compares `start` with `other`, which have the same id or the same host. The
+ * start times decide; of two with the same id, one without a start time is the
+ * earlier one. Two ids have no order if a start time is missing or both are
+ * equal.
  */
 export function compareStarts(
   start: UpstreamStart,
@@ -30,7 +31,7 @@
   return start.bornMillis > other.bornMillis ? 'later' : 'earlier';
 }
 
-/** Whether both are one and the same start. */
+/** Returns whether both identify the same start. */
 export function isSameStart(
   start: UpstreamStart,
   other: UpstreamStart,
--- a/src/process/membership/watcher_selection.ts
+++ b/src/process/membership/watcher_selection.ts
@@ -1,56 +1,64 @@
 /**
- * Decides whether this node watches the source of documents itself, or which other
- * node it polls for changes.
+ * Determines whether this node watches the source of documents itself, or which
+ * other node it polls for changes.
  *
- * Load pattern: every change of every entry ends the watches of all nodes, and each of
- * them polls again: calls to the source grow with the fleet, though all of them bring
- * the same changes. So one node of each availability zone watches and the others poll
- * it. Each node selects for itself: two opinions only cost one watch more. A zone that
- * is cut off has its own watcher, and a node that gets no answer watches itself.
+ * Load pattern: every change of every entry ends the watches of all nodes, and
+ * each of them polls again: calls to the source grow with the fleet, although
+ * all of them return the same changes. So one node of each availability zone
+ * watches the source and the others poll that node. Each node selects
+ * independently: a disagreement only costs one additional watch. A partitioned
+ * zone has its own watcher, and a node that gets no response watches the source
+ * itself.
  */
 import {fnvHash} from '../../base/fnv_hash.js';
 import type {KnownUpstream} from './known_upstream.js';
 import type {UpstreamEntry} from './upstream_entry.js';
 
-/** What this node does next. */
+/** Next step of this node. */
 export type WatchDecision =
   | {readonly kind: 'watch'}
   | {readonly kind: 'ask'; readonly entry: UpstreamEntry};
 
-/** Selection of one node. */
+/** Selection made by one node. */
 export interface WatcherSelection {
-  /** `isSourceLost`: this node cannot watch, whoever should. */
+  /**
+   * Selects the next step. `isSourceLost`: this node cannot watch, even if
+   * selected.
+   */
   decide(isSourceLost: boolean): WatchDecision;
-  /** A polled node did not answer, or does not watch itself. */
+  /**
+   * Records that a polled node did not respond, or does not watch the source.
+   */
   recordFailure(entry: UpstreamEntry): void;
   recordSuccess(): void;
 }
 
-/** What a selection needs. */
 export interface WatcherSelectionOptions {
-  /** The latest upstream of each host. */
+  /** Returns the latest upstream of each host. */
   readonly hosts: () => Iterable<KnownUpstream>;
   readonly ownHostKey: string;
   readonly zone: string;
   readonly nowMillis: () => number;
 }
 
-/** Time for which a node that failed is passed over. */
-const FAILED_MILLIS = 5000;
+/** Time for which a node that failed is not selected. */
+const FAILURE_COOLDOWN_MILLIS = 5000;
 
-/** Failures in a row after which a node watches itself, for that time. */
-const FAILURES_COUNT = 2;
+/**
+ * Consecutive failures after which this node watches the source, for that time.
+ */
+const MAX_FAILURES_COUNT = 2;
 
-/** Creates the selection of a node that knows of no failure. */
+/** Creates a selection without failures. */
 export function createWatcherSelection(
   options: WatcherSelectionOptions,
 ): WatcherSelection {
   const {hosts, ownHostKey, zone, nowMillis} = options;
   const failedUntilMillis = new Map<string, number>();
   let failuresCount = 0;
-  let onOwnUntilMillis = 0;
+  let watchUntilMillis = 0;
 
-  const isFailing = ({hostKey}: UpstreamEntry): boolean => {
+  const hasRecentFailure = ({hostKey}: UpstreamEntry): boolean => {
     const untilMillis = failedUntilMillis.get(hostKey);
     if (untilMillis === undefined) return false;
     if (nowMillis() < untilMillis) return true;
@@ -58,14 +66,19 @@
     return false;
   };
 
-  /** The first host of the zone in an order that is the same at all nodes. */
-  const firstOfZone = (isOwnLeftOut: boolean): UpstreamEntry | undefined => {
+  /**
+   * Returns the first host of the zone, in an order that is the same on all
+   * nodes.
+   */
+  const findFirstOfZone = (
+    isOwnHostExcluded: boolean,
+  ): UpstreamEntry | undefined => {
     let first: UpstreamEntry | undefined;
     let firstRank = Infinity;
     for (const {entry} of hosts()) {
       if (entry.zone !== zone || entry.isDraining) continue;
-      if (isOwnLeftOut && entry.hostKey === ownHostKey) continue;
-      if (isFailing(entry)) continue;
+      if (isOwnHostExcluded && entry.hostKey === ownHostKey) continue;
+      if (hasRecentFailure(entry)) continue;
       const rank = fnvHash(entry.hostKey);
       if (rank >= firstRank) continue;
       first = entry;
@@ -76,10 +89,10 @@
 
   return {
     decide: isSourceLost => {
-      if (nowMillis() < onOwnUntilMillis && !isSourceLost) {
+      if (nowMillis() < watchUntilMillis && !isSourceLost) {
         return {kind: 'watch'};
       }
-      const entry = firstOfZone(isSourceLost);
+      const entry = findFirstOfZone(isSourceLost);
       if (entry === undefined || entry.hostKey === ownHostKey) {
         return {kind: 'watch'};
       }
@@ -87,11 +100,11 @@
     },
     recordFailure: ({hostKey}) => {
       const now = nowMillis();
-      failedUntilMillis.set(hostKey, now + FAILED_MILLIS);
+      failedUntilMillis.set(hostKey, now + FAILURE_COOLDOWN_MILLIS);
       failuresCount += 1;
-      if (failuresCount < FAILURES_COUNT) return;
+      if (failuresCount < MAX_FAILURES_COUNT) return;
       failuresCount = 0;
-      onOwnUntilMillis = now + FAILED_MILLIS;
+      watchUntilMillis = now + FAILURE_COOLDOWN_MILLIS;
     },
     recordSuccess: () => {
       failuresCount = 0;
--- a/test/unit/process/membership/configuration_holder.test.ts
+++ b/test/unit/process/membership/configuration_holder.test.ts
@@ -2,9 +2,9 @@
 import {createConfigurationHolder} from '../../../../src/process/membership/configuration_holder.js';
 import {routeTable} from '../../../fakes/route_documents.js';
 
-test('an older or equal version never replaces the one in force', t => {
-  // Symptom: requests follow a route that was withdrawn. A read that was
-  // answered late brought an older version. Cause: the last answer won.
+test('an older or equal version never replaces the active one', t => {
+  // Guards against requests that follow a removed route: a delayed read returns
+  // an older version, which must not replace the newer one.
   const holder = createConfigurationHolder();
   t.is(holder.current(), undefined);
   t.is(holder.update(routeTable({version: 7})), 'accepted');
--- a/test/unit/process/membership/peer_positions.test.ts
+++ b/test/unit/process/membership/peer_positions.test.ts
@@ -17,7 +17,7 @@
   return {peerPositions, listen, staleCount: () => staleCount};
 }
 
-test('a node is behind once another one has a later revision in force', t => {
+test('a node is stale once another one has applied a later revision', t => {
   const {peerPositions, listen, staleCount} = createFixture();
   peerPositions.recordRead(at(10));
   listen();
@@ -34,7 +34,7 @@
   t.is(staleCount(), 2);
 });
 
-test('what a read does not bear out is forgotten', t => {
+test('a reported position that a read does not confirm is dropped', t => {
   const {peerPositions, listen, staleCount} = createFixture();
   peerPositions.recordPeerPosition(at(1000));
   peerPositions.recordRead(at(10));
@@ -43,14 +43,14 @@
   t.deepEqual(peerPositions.applied, at(10));
 });
 
-test('who listens no more is not told', t => {
+test('a disposed listener is not called', t => {
   const {peerPositions, listen, staleCount} = createFixture();
   listen().dispose();
   peerPositions.recordPeerPosition(at(1));
   t.is(staleCount(), 0);
 });
 
-test('a later epoch is news, and a higher revision of an earlier one is none', t => {
+test('a later epoch makes a node stale, a higher revision of an earlier one does not', t => {
   const {peerPositions, listen, staleCount} = createFixture();
   peerPositions.recordRead({epoch: 2, revision: 10});
   listen();
--- a/test/unit/process/membership/reply_timeout.test.ts
+++ b/test/unit/process/membership/reply_timeout.test.ts
@@ -1,31 +1,32 @@
 import test from 'ava';
 import {createReplyTimeout} from '../../../../src/process/membership/reply_timeout.js';
 
-/** Bound after nodes have replied within times from `low` to `high`. */
-function boundAfter(low: number, high: number): number {
-  const bound = createReplyTimeout();
+/** Timeout after nodes have replied in `low` or `high` milliseconds. */
+function timeoutAfter(low: number, high: number): number {
+  const timeout = createReplyTimeout();
   for (let index = 0; index < 200; index += 1) {
-    bound.observe(index % 2 === 0 ? low : high);
+    timeout.observe(index % 2 === 0 ? low : high);
   }
-  return bound.currentMillis();
+  return timeout.currentMillis();
 }
 
-test('among nodes that reply at once, one lost packet loses nobody', t => {
-  // A shorter bound was tried for zones that are cut off without a word: no more
-  // was served in time, and twice as much failed on two of four days.
-  t.is(boundAfter(1, 4), 400);
+test('among fast nodes, one lost packet does not mark a node as lost', t => {
+  // A shorter timeout was tried for zones that are partitioned without an
+  // error: no more requests were served in time, and twice as many failed on
+  // two of four days.
+  t.is(timeoutAfter(1, 4), 400);
 });
 
-test('among busy nodes, one that has not replied for long is not lost', t => {
-  // Symptom: a read fails beside upstreams that work. Sequence: nodes share a
-  // few processors and reply within 0.1 to 0.5 s; those that took longer than
-  // 0.4 s were taken for lost, and each cost the read an attempt.
-  t.true(boundAfter(100, 500) > 1000);
-  t.true(boundAfter(5000, 9000) <= 1500);
+test('among busy nodes, a slow reply does not mark a node as lost', t => {
+  // A read failed although its upstreams were healthy: nodes that share a few
+  // processors reply within 0.1 to 0.5 s, those slower than 0.4 s were marked
+  // as lost, and each cost the read an attempt.
+  t.true(timeoutAfter(100, 500) > 1000);
+  t.true(timeoutAfter(5000, 9000) <= 1500);
 });
 
-test('a few replies tell nothing yet', t => {
-  const bound = createReplyTimeout();
-  for (let index = 0; index < 7; index += 1) bound.observe(1);
-  t.is(bound.currentMillis(), 400);
+test('a few replies do not change the timeout', t => {
+  const timeout = createReplyTimeout();
+  for (let index = 0; index < 7; index += 1) timeout.observe(1);
+  t.is(timeout.currentMillis(), 400);
 });
--- a/test/unit/process/membership/upstream_directory.test.ts
+++ b/test/unit/process/membership/upstream_directory.test.ts
@@ -15,8 +15,8 @@
     advance: (millis: number) => {
       now += millis;
     },
-    /** Loses the source for so long. */
-    lose: (millis: number) => {
+    /** Makes the source unavailable for this time. */
+    loseSource: (millis: number) => {
       directory.markSourceLost();
       now += millis;
       directory.markSourceRecovered();
@@ -24,7 +24,7 @@
   };
 }
 
-test('a draining upstream takes no new work', t => {
+test('a draining upstream gets no new requests', t => {
   const {directory, changes} = createFixture();
   directory.put([upstreamEntry()]);
   t.is(directory.listReady('orders').length, 1);
@@ -33,7 +33,7 @@
   t.deepEqual(changes, ['joined u-1', 'draining u-1']);
 });
 
-test('an upstream that is missing from all of now has left', t => {
+test('an upstream that is missing from a full read has left', t => {
   const {directory} = createFixture();
   directory.put([upstreamEntry(), upstreamEntry({id: 'u-2'})]);
   directory.replaceAll([upstreamEntry({id: 'u-2'})]);
@@ -42,14 +42,14 @@
   t.is(directory.count(), 1);
 });
 
-test('entries that lapsed with the source stay for two seconds', t => {
-  // Symptom: after an outage of the source a whole service has no upstreams.
-  // Their entries ran out while nobody could renew them, and the first read
-  // after the outage comes before the renewals. Cause: a missing entry was
-  // taken for an upstream that has left.
-  const {directory, changes, advance, lose} = createFixture();
+test('entries that expired during an outage of the source stay for two seconds', t => {
+  // After an outage of the source, a whole service had no upstreams. Their
+  // entries had expired while they could not be renewed, the first read after
+  // the outage came before the renewals, and a missing entry was treated as an
+  // upstream that has left.
+  const {directory, changes, advance, loseSource} = createFixture();
   directory.put([upstreamEntry(), upstreamEntry({id: 'u-2'})]);
-  lose(1001);
+  loseSource(1001);
   directory.replaceAll([]);
   t.is(directory.listReady('orders').length, 2);
   directory.put([upstreamEntry()]);
@@ -62,18 +62,18 @@
   t.true(changes.includes('left u-2'));
 });
 
-test('an upstream whose leaving is told after the return is gone in time', t => {
-  // Symptom: an upstream gets a request 2,011 ms after its leaving was published.
-  // Sequence: the source returns, and an entry is removed just after that. Cause:
-  // it was kept like those that lapsed, for two seconds and up to the next look.
-  const {directory, advance, lose} = createFixture();
+test('an upstream whose removal is reported after an outage is removed in time', t => {
+  // An upstream got a request 2,011 ms after its removal was published: an
+  // entry that was removed just after the return of the source was kept like an
+  // expired one, for two seconds and up to the next expiry check.
+  const {directory, advance, loseSource} = createFixture();
   directory.put([upstreamEntry()]);
-  lose(1001);
+  loseSource(1001);
   advance(9);
   directory.remove(['u-1']);
   t.is(directory.listReady('orders').length, 1);
-  // Looks at what has aged are half a second apart.
-  for (let look = 1; look <= 3; look += 1) {
+  // Expiry checks are half a second apart.
+  for (let check = 1; check <= 3; check += 1) {
     advance(490);
     directory.removeExpired();
   }
@@ -81,10 +81,10 @@
   t.true(directory.hasLeft('u-1'));
 });
 
-test('who is awaited is not let go while the source is away again', t => {
-  const {directory, advance, lose} = createFixture();
+test('a missing upstream is not removed while the source is lost again', t => {
+  const {directory, advance, loseSource} = createFixture();
   directory.put([upstreamEntry(), upstreamEntry({id: 'u-2'})]);
-  lose(1001);
+  loseSource(1001);
   directory.replaceAll([]);
   advance(1000);
   directory.markSourceLost();
@@ -101,10 +101,10 @@
   t.is(directory.listReady('orders').length, 0);
 });
 
-test('whose removal was told goes while the source is away again', t => {
-  const {directory, advance, lose} = createFixture();
+test('an upstream with a reported removal is removed while the source is lost again', t => {
+  const {directory, advance, loseSource} = createFixture();
   directory.put([upstreamEntry()]);
-  lose(1001);
+  loseSource(1001);
   directory.remove(['u-1']);
   directory.markSourceLost();
   advance(1400);
@@ -112,7 +112,7 @@
   t.is(directory.listReady('orders').length, 0);
 });
 
-test('the newest upstream counts where an address was used again', t => {
+test('the newest upstream is used where an address was reused', t => {
   const {directory, advance} = createFixture();
   directory.put([upstreamEntry()]);
   advance(10);
--- a/test/unit/process/membership/upstream_restarts.test.ts
+++ b/test/unit/process/membership/upstream_restarts.test.ts
@@ -6,12 +6,12 @@
 
 function createFixture() {
   let now = 0;
-  let named = new Set(['orders', 'atlas']);
+  let configuredServices = new Set(['orders', 'atlas']);
   const changes: string[] = [];
   const directory = createUpstreamDirectory({
     nowMillis: () => now,
     heartbeatMillis: HEARTBEAT_MILLIS,
-    isServiceConfigured: service => named.has(service),
+    isServiceConfigured: service => configuredServices.has(service),
     onChange: change => changes.push(`${change.kind} ${change.entry.id}`),
   });
   return {
@@ -22,8 +22,8 @@
       now += millis;
       directory.removeExpired();
     },
-    name: (...services: readonly string[]) => {
-      named = new Set(services);
+    configure: (...services: readonly string[]) => {
+      configuredServices = new Set(services);
       directory.reindex();
     },
   };
@@ -33,7 +33,7 @@
   return upstreamEntry({bornMillis, sequenceNumber, ...fields});
 }
 
-test('a later start under an id begins cold and seen anew', t => {
+test('a later start under an id is slow and first seen again', t => {
   const {directory, changes, advance} = createFixture();
   directory.put([bornAt(1, 40)]);
   advance(5000);
@@ -45,7 +45,7 @@
   t.deepEqual(changes, ['joined u-1', 'restarted u-1']);
 });
 
-test('an upstream that starts again does not drain as the start before', t => {
+test('an upstream that restarts does not drain like its previous start', t => {
   const {directory, changes, readyIds} = createFixture();
   directory.put([bornAt(1, 40, {isDraining: true})]);
   directory.put([bornAt(2, 1)]);
@@ -55,24 +55,24 @@
   t.deepEqual(changes, ['joined u-1', 'restarted u-1', 'draining u-1']);
 });
 
-test('what one start has told is not taken back by what it told before', t => {
-  // Symptom: an upstream that drains gets a request. Sequence: two of its entries
-  // reach the store in the wrong order. Cause: the later write counted.
+test('an older entry of a start does not replace a newer one', t => {
+  // A draining upstream got a request: two of its entries reached the store in
+  // the wrong order, and the later write was used.
   const {directory, readyIds} = createFixture();
   directory.put([bornAt(1, 8, {isDraining: true})]);
   directory.put([bornAt(1, 7)]);
   t.deepEqual(readyIds(), []);
 });
 
-test('without births a count that begins anew is taken as it comes', t => {
+test('without start times, a sequence number that begins again is accepted', t => {
   const {directory, readyIds} = createFixture();
   directory.put([upstreamEntry({sequenceNumber: 40})]);
   directory.put([upstreamEntry({sequenceNumber: 1, isDraining: true})]);
   t.deepEqual(readyIds(), []);
 });
 
-test('an earlier start counts only if the later one stays silent', t => {
-  // A clock that was set back would otherwise keep an upstream out for good.
+test('an earlier start is used only if the later one stops writing', t => {
+  // A clock that was set back would otherwise exclude an upstream permanently.
   const {directory, changes, readyIds, advance} = createFixture();
   directory.put([bornAt(9, 3)]);
   directory.put([bornAt(1, 50, {slotsCount: 5})]);
@@ -94,10 +94,10 @@
   ]);
 });
 
-test('an overwritten entry ends its upstream after three heartbeats', t => {
+test('an upstream with an overwritten entry is removed after three heartbeats', t => {
   const {directory, readyIds, advance} = createFixture();
   directory.put([bornAt(1, 1)]);
-  for (let beat = 1; beat <= 3; beat += 1) {
+  for (let heartbeat = 1; heartbeat <= 3; heartbeat += 1) {
     directory.markContested(['u-1', 'u-9']);
     t.deepEqual(readyIds(), ['u-1']);
     advance(HEARTBEAT_MILLIS);
@@ -107,7 +107,7 @@
   t.is(directory.count(), 0);
 });
 
-test('an overwritten entry is not one that is missing, and a removal holds', t => {
+test('an overwritten entry is not missing, and a removal takes effect', t => {
   const {directory, readyIds} = createFixture();
   directory.put([bornAt(1, 1)]);
   directory.replaceAll([], ['u-1']);
@@ -116,30 +116,30 @@
   t.deepEqual(readyIds(), []);
 });
 
-test('an entry that changes to an unnamed service is not its own', t => {
+test('an entry that changes to an unconfigured service is not its own', t => {
   const {directory, readyIds} = createFixture();
   directory.put([bornAt(1, 1)]);
   directory.put([bornAt(1, 2, {service: 'nobody-s'})]);
   t.deepEqual(readyIds(), ['u-1']);
 });
 
-test('an upstream of an unnamed service waits and takes no host', t => {
-  const {directory, changes, readyIds, name} = createFixture();
+test('an upstream of an unconfigured service is unused and supersedes no other', t => {
+  const {directory, changes, readyIds, configure} = createFixture();
   directory.put([bornAt(1, 1)]);
   directory.put([bornAt(2, 1, {id: 'x-1', service: 'later'})]);
   t.deepEqual(readyIds(), ['u-1']);
   t.is(directory.findByHost('10.0.0.1:80')?.entry.id, 'u-1');
   t.deepEqual(changes, ['joined u-1', 'joined x-1', 'unnamed x-1']);
-  name('orders', 'later');
+  configure('orders', 'later');
   t.is(directory.listReady('later').length, 1);
 });
 
-test('of two entries at one host only the later start gets work', t => {
-  // Symptom: requests that follow the start of a node fail by the hundred.
-  // Sequence: upstreams end with their hosts, others start there, and a node that
-  // starts reads the entries of both; those of the ended ones stay for three
-  // heartbeats. Cause: both counted as ready, and each choice of an ended one
-  // cost an attempt. Births tell which one is alive.
+test('of two entries on one host only the later start gets requests', t => {
+  // Hundreds of requests failed after a node had started. Upstreams exit with
+  // their hosts, others start there, and the node reads the entries of both, as
+  // those of exited upstreams stay for three heartbeats. Both were treated as
+  // ready, and each choice of an exited one cost an attempt. The start times
+  // show which one is alive.
   const {directory, changes, readyIds} = createFixture();
   directory.replaceAll([
     bornAt(7, 1, {id: 'new'}),
@@ -153,7 +153,7 @@
   t.true(changes.includes('superseded old'));
 });
 
-test('without births the start seen later is the one that is alive', t => {
+test('without start times, the start seen later is the one that is alive', t => {
   const {directory, readyIds, advance} = createFixture();
   directory.replaceAll([upstreamEntry({id: 'a'}), upstreamEntry({id: 'b'})]);
   t.deepEqual(readyIds(), ['a', 'b']);
@@ -164,11 +164,12 @@
   t.deepEqual(readyIds(), ['a', 'b']);
 });
 
-test('a restored copy does not bring an earlier start back', t => {
-  // Requests were sent to a start of an upstream that a later one had replaced. The
-  // later one ended while the store was away, and the copy that it came back from
-  // listed the earlier one under the same id; it was kept for the case that the
-  // later one's entry had been overwritten by a host whose clock was set back.
+test('a restored copy does not restore an earlier start', t => {
+  // Requests were sent to a start of an upstream that a later one had replaced.
+  // The later one exited while the store was unavailable, and the copy that the
+  // store was restored from listed the earlier one under the same id; it was
+  // kept in case a host whose clock was set back had overwritten the later
+  // one's entry.
   const {directory, changes, advance} = createFixture();
   directory.put([bornAt(1, 40)]);
   directory.put([bornAt(2, 1)]);
--- a/test/unit/process/membership/upstream_start.test.ts
+++ b/test/unit/process/membership/upstream_start.test.ts
@@ -10,7 +10,7 @@
   return {id, bornMillis};
 }
 
-test('births order starts, under one id and at one host', t => {
+test('start times order starts, under one id and on one host', t => {
   t.is(compareStarts(start('a', 2), start('a', 1)), 'later');
   t.is(compareStarts(start('a', 1), start('a', 2)), 'earlier');
   t.is(compareStarts(start('a', 1), start('a', 1)), 'same');
@@ -18,7 +18,7 @@
   t.is(compareStarts(start('a', 1), start('b', 1)), 'unknown');
 });
 
-test('a publisher that tells no birth is the older one under its id', t => {
+test('a start without a start time is the earlier one under its id', t => {
   t.is(compareStarts(start('a'), start('a')), 'same');
   t.is(compareStarts(start('a', 1), start('a')), 'later');
   t.is(compareStarts(start('a'), start('a', 1)), 'earlier');
@@ -26,7 +26,7 @@
   t.is(compareStarts(start('a'), start('b')), 'unknown');
 });
 
-test('the order is the same from both sides', t => {
+test('the order is antisymmetric', t => {
   const opposite = {
     same: 'same',
     later: 'earlier',
