--- a/src/request/local_execution.ts
+++ b/src/request/local_execution.ts
@@ -92,8 +92,9 @@
   });
   const crashRefusal =
     admission instanceof Promise ? await admission : admission;
-  if (crashRefusal !== undefined)
+  if (crashRefusal !== undefined) {
     return refuseAndReleaseSlot(options, crashRefusal);
+  }
   const late = lateRefusalReason(options, call);
   if (late !== undefined) {
     options.quarantine.end(request);
--- a/src/request/outbound_exchange.ts
+++ b/src/request/outbound_exchange.ts
@@ -115,8 +115,9 @@
 ): Promise<void> {
   const {responder} = options;
   const routed = routeRequest(options, exchange, isLocal);
-  if (routed === undefined || refuseIfStopping(options, exchange, routed))
+  if (routed === undefined || refuseIfStopping(options, exchange, routed)) {
     return;
+  }
   const isWithin = checkQuota(options, exchange, routed);
   if (!(isWithin instanceof Promise ? await isWithin : isWithin)) return;
   const entered = createEnteredRequest(options, exchange, routed);
