--- a/test/contract/platform_answers.test.ts
+++ b/test/contract/platform_answers.test.ts
@@ -3,9 +3,10 @@
 import {signatureOf} from '../fakes/stand_in_backend.js';
 import {startFleet} from '../fakes/test_fleet.js';
 
-test('an answer that was lost: repeated if harmless, else reported', async t => {
-  // Symptom: an order is charged twice. The upstream runs it and its connection
-  // breaks before the answer. Cause: taken for a request that did not arrive.
+test('a request with a lost response is retried if repeatable, otherwise fails', async t => {
+  // Guards against an order that is charged twice: the upstream executes it and its
+  // connection is reset before the response, which was treated as a request that did not
+  // arrive.
   const fleet = await startFleet(t, {
     services: ['orders', 'orders', 'atlas'],
     paths: [SAFE_PATH, ORDER_PATH],
@@ -31,7 +32,7 @@
   t.is(runs('unsafe'), 1);
 });
 
-test('an order goes on to another host if it provably did not run', async t => {
+test('an order is sent to another host if it was certainly not executed', async t => {
   const fleet = await startFleet(t, {
     services: ['orders', 'orders', 'atlas'],
     paths: [ORDER_PATH],
@@ -46,10 +47,10 @@
   t.is(second!.backend.runIds.length, 12);
 });
 
-test('a second answer of an upstream never reaches a client', async t => {
-  // Symptom: a member gets another member's answer. The upstream sends an
-  // answer twice; on the kept connection the copy stands where the next answer
-  // is expected. Cause: answers are matched by their place alone.
+test('a duplicate response of an upstream never reaches a client', async t => {
+  // Guards against a client that gets another client's response: the upstream sends a
+  // response twice on a keep-alive connection, and the copy is matched by its position to
+  // the next request.
   const fleet = await startFleet(t, {
     services: ['atlas', 'orders'],
     paths: [SAFE_PATH],
@@ -79,14 +80,14 @@
 }
 
 const BROKEN_ANSWERS: readonly BrokenAnswer[] = [
-  {title: 'no HTTP', bytes: () => 'not an answer\r\n\r\n'},
+  {title: 'not HTTP', bytes: () => 'not an answer\r\n\r\n'},
   {
-    title: 'body cut short',
+    title: 'truncated body',
     bytes: id =>
       `HTTP/1.1 200 OK\r\nattempt-id: ${id}\r\nresponse-signature: s\r\ncontent-length: 50\r\n\r\nhalf`,
   },
   {
-    title: 'chunks cut short',
+    title: 'truncated chunks',
     bytes: id =>
       `HTTP/1.1 200 OK\r\nattempt-id: ${id}\r\nresponse-signature: s\r\ntransfer-encoding: chunked\r\n\r\n5\r\nab`,
   },
@@ -96,7 +97,7 @@
       `HTTP/1.1 200 OK\r\nattempt-id: ${id}\r\ncontent-length: 2\r\n\r\nok`,
   },
   {
-    title: 'an encoding',
+    title: 'content encoding',
     bytes: id =>
       `HTTP/1.1 200 OK\r\nattempt-id: ${id}\r\nresponse-signature: s\r\ncontent-encoding: gzip\r\ncontent-length: 2\r\n\r\nok`,
   },
@@ -108,7 +109,7 @@
 ];
 
 for (const {title, bytes} of BROKEN_ANSWERS) {
-  test(`an order with a broken answer fails visibly, once: ${title}`, async t => {
+  test(`an order with a malformed response fails and is not retried: ${title}`, async t => {
     const fleet = await startFleet(t, {
       services: ['atlas', 'orders'],
       paths: [ORDER_PATH],
@@ -124,7 +125,7 @@
   });
 }
 
-test('a failure of the upstream is passed on with its signature', async t => {
+test('an upstream failure is forwarded with its signature', async t => {
   const fleet = await startFleet(t, {
     services: ['orders'],
     paths: [ORDER_PATH],
@@ -139,7 +140,7 @@
   t.is(answer.headers['response-signature'], signatureOf('i-1', 'c1'));
 });
 
-test('an upstream that says it did not run an order gives it to another', async t => {
+test('an order that an upstream reports as not executed is sent to another', async t => {
   const fleet = await startFleet(t, {
     services: ['orders', 'orders'],
     paths: [ORDER_PATH],
@@ -155,13 +156,13 @@
 });
 
 for (const [title, services] of [
-  ['on this host', ['orders']],
-  ['through another node', ['atlas', 'orders']],
+  ['local upstream', ['orders']],
+  ['forwarded to another node', ['atlas', 'orders']],
 ] as const) {
-  test(`an answer without a length is not given one: ${title}`, async t => {
-    // Symptom: a member receives half a map that looks whole. The upstream
-    // tells no length and crashes midway; its connection ends as if it were
-    // done. Cause: the node measured what it had and vouched for it.
+  test(`a response without a length is forwarded without one: ${title}`, async t => {
+    // Guards against a truncated map that looks complete: the upstream sends no length and
+    // crashes midway, its connection closes as after a complete response, and the node
+    // added the length of what it had received.
     const fleet = await startFleet(t, {services, paths: [SAFE_PATH]});
     const orders = fleet.hosts.at(-1)!;
     orders.backend.setBehaviour(({attemptId, socket}) => {
--- a/test/contract/platform_crashing_processes.test.ts
+++ b/test/contract/platform_crashing_processes.test.ts
@@ -1,5 +1,5 @@
 /**
- * Nodes as processes of their own beside upstreams that one request crashes.
+ * Nodes as separate processes, with upstreams that crash on one request.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import test from 'ava';
@@ -16,12 +16,12 @@
 const CRASHES_COUNT = 3;
 const DOWN_MILLIS = 300;
 
-/** Time in which a node that starts must have learned what others know. */
+/** Time in which a started node must receive the crash reports of other nodes. */
 const LEARN_MILLIS = 2500;
 
-test('nodes that are killed and start again refuse a request that crashed upstreams', async t => {
-  // Guards against a request that crashes three upstreams more after each loss of
-  // most nodes.
+test('nodes that are killed and restarted refuse a request that crashed upstreams', async t => {
+  // Guards against a request that crashes three more upstreams each time most nodes are
+  // lost.
   const fleet = await startProcessFleet(t, SERVICES);
   const {hosts, publish, restart, send} = fleet;
   await untilInForce(hosts, 1);
@@ -60,15 +60,12 @@
     await sleep(20);
   }
   t.is(crashesCount(), CRASHES_COUNT);
-  await waitUntil('all nodes know', () =>
+  await waitUntil('quarantined at all nodes', () =>
     hosts.every(({lines}) =>
       lines.some(({event}) => event === 'request-quarantined'),
     ),
   );
-  await waitUntil(
-    'upstreams are there again',
-    () => startsCount === CRASHES_COUNT,
-  );
+  await waitUntil('upstreams restarted', () => startsCount === CRASHES_COUNT);
 
   for (const index of [0, 1, 2, 3]) restart(index);
   await untilInForce(hosts, 1);
--- a/test/contract/platform_crashing_requests.test.ts
+++ b/test/contract/platform_crashing_requests.test.ts
@@ -9,26 +9,26 @@
 
 const CULPRIT_PATH = '/a/culprit?page=1';
 
-/** Time that the bystanders' upstreams work, so that many are in progress. */
+/** Execution time of other requests, so that many are in progress at a crash. */
 const WORK_MILLIS = 60;
 const CRASH_MILLIS = 30;
 const DOWN_MILLIS = 400;
 
-/** Sends of a request that are allowed once it has crashed three upstreams. */
+/** Allowed executions of a request after it has crashed three upstreams. */
 const ALLOWED_COUNT = 3;
 const CRASHES_COUNT = 3;
 
 interface CrashingFleet {
   readonly fleet: PlatformFleet;
   readonly callers: readonly FleetHost[];
-  /** Crashes of all upstreams. */
+  /** Number of crashes of all upstreams. */
   crashesCount(): number;
-  /** Times that the culprit was handed to an upstream. */
+  /** Number of times that the culprit was dispatched to an upstream. */
   culpritRunsCount(): number;
   sendCulprit(): Promise<ClientAnswer>;
 }
 
-/** What the culprit looks like. */
+/** The request that crashes upstreams. */
 interface Culprit {
   readonly method: string;
   readonly path: string;
@@ -46,7 +46,7 @@
   );
 }
 
-/** Upstreams of `orders` that crash whenever they run the culprit. */
+/** Starts upstreams of `orders` that crash whenever they execute the culprit. */
 async function startCrashingFleet(
   t: ExecutionContext,
   culprit = CULPRIT_READ,
@@ -97,7 +97,7 @@
   };
 }
 
-/** Sends the culprit through one node after the other until it is known. */
+/** Sends the culprit through each node in turn until it has crashed three upstreams. */
 async function crashThree(crashing: CrashingFleet): Promise<void> {
   for (let index = 0; index < 400; index += 1) {
     if (crashing.crashesCount() >= CRASHES_COUNT) break;
@@ -107,9 +107,9 @@
   await sleep(2 * DOWN_MILLIS);
 }
 
-test('a request that crashed three upstreams is sent to no more than three others', async t => {
-  // Guards against a request that takes down all upstreams of its service, again
-  // and again, because each attempt of its callers is new to every node.
+test('a request that crashed three upstreams is dispatched at most three more times', async t => {
+  // Guards against a request that repeatedly crashes all upstreams of its service because
+  // nodes do not recognise the retries of its callers.
   const crashing = await startCrashingFleet(t);
   await crashThree(crashing);
   t.true(crashing.crashesCount() >= CRASHES_COUNT);
@@ -121,16 +121,16 @@
   }
   const moreCount = crashing.culpritRunsCount() - runsBefore;
   t.true(moreCount <= ALLOWED_COUNT, String(moreCount));
-  // None of them has run, and each is told when to come back.
+  // None of them was executed, and each response has a `retry-after`.
   for (const {statusCode, headers} of answers.slice(ALLOWED_COUNT)) {
     t.is(statusCode, 503);
     t.true(Number(headers['retry-after']) > 0);
   }
 });
 
-test('requests in progress beside one that crashes upstreams are served when sent again', async t => {
-  // Guards against a quarantine that takes the bystanders of crashes for their
-  // cause.
+test('requests in progress during crashes are served when they are sent again', async t => {
+  // Guards against a quarantine of requests that were in progress during crashes but did
+  // not cause them.
   const crashing = await startCrashingFleet(t);
   const {fleet, callers} = crashing;
   const bystanders = Array.from({length: 30}, (_, index) => index);
@@ -154,7 +154,7 @@
 });
 
 test('an order that crashes upstreams is refused, orders with other bodies are served', async t => {
-  // Guards against a quarantine of a path for the fault of one body.
+  // Guards against a quarantine of a whole path because of one body.
   const culprit = {method: 'POST', path: '/order/1', body: 'culprit'};
   const crashing = await startCrashingFleet(t, culprit);
   const {fleet, callers} = crashing;
--- a/test/contract/platform_path.test.ts
+++ b/test/contract/platform_path.test.ts
@@ -59,12 +59,12 @@
     'x-kept': 'yes',
   });
   t.is(seen['x-dropped'], undefined);
-  // Nodes tell each other nothing in headers, so that none can be forged.
+  // Nodes exchange no data in headers, so none can be forged.
   t.is(seen['fulmarhollow-origin'], 'forged');
   t.true(Number(seen['timeout-ms']) > 0 && Number(seen['timeout-ms']) <= 4000);
 });
 
-test('a body in chunks arrives whole', async t => {
+test('a chunked body arrives complete', async t => {
   const fleet = await startFleet(t, {
     services: ['atlas', 'orders'],
     paths: [ORDER_PATH],
@@ -86,7 +86,7 @@
   t.is(seenBody.length, 30_000);
 });
 
-test('what has no route is answered 404, without a configuration 503', async t => {
+test('a request without a route gets 404, without a configuration 503', async t => {
   const fleet = await startFleet(t, {services: ['orders']});
   const [host] = fleet.hosts;
   const early = await fleet.send(host!, {attemptId: 'c1', path: '/a/1'});
@@ -101,14 +101,14 @@
   t.is(known.statusCode, 200);
 });
 
-test('a draining upstream gets nothing new, nor does one that left', async t => {
+test('draining and departed upstreams get no new requests', async t => {
   const fleet = await startFleet(t, {
     services: ['orders', 'orders', 'atlas'],
     paths: [SAFE_PATH],
   });
   const [first, second, atlas] = fleet.hosts;
   fleet.publish(first!, {state: 'draining'});
-  await waitUntil('all know', () =>
+  await waitUntil('drain applied at all nodes', () =>
     fleet.hosts.every(host =>
       host.events.some(({event}) => event === 'upstream-draining'),
     ),
@@ -126,9 +126,9 @@
   t.is(none.statusCode, 503);
 });
 
-test('work ends when the client leaves', async t => {
-  // Symptom: upstreams work on for clients that have gone. The close of the
-  // answer was taken for its end, so only the deadline ended the work.
+test('a request is cancelled when its client disconnects', async t => {
+  // Guards against upstreams that keep executing requests of disconnected clients: the
+  // close of the response was treated as its end, so only the deadline cancelled them.
   const fleet = await startFleet(t, {
     services: ['atlas', 'orders'],
     paths: [fleetPath({timeoutS: 120})],
@@ -146,13 +146,13 @@
     },
   });
   request.on('error', () => undefined);
-  await waitUntil('at work', () => orders!.backend.runIds.length === 1);
+  await waitUntil('in progress', () => orders!.backend.runIds.length === 1);
   request.destroy();
-  await waitUntil('cut', () => orders!.backend.cutCount === 1);
+  await waitUntil('aborted', () => orders!.backend.cutCount === 1);
   t.pass();
 });
 
-test('a route is answered at its timeout, and its work ends', async t => {
+test('a request gets 504 at the timeout of its route and is cancelled', async t => {
   const fleet = await startFleet(t, {
     services: ['atlas', 'orders'],
     paths: [fleetPath({timeoutS: 0.3}), ORDER_PATH],
@@ -161,7 +161,7 @@
   orders!.backend.setBehaviour(() => undefined);
   const answer = await fleet.send(atlas!, {attemptId: 'c1', path: '/a/1'});
   t.is(answer.statusCode, 504);
-  await waitUntil('cut', () => orders!.backend.cutCount === 1);
+  await waitUntil('aborted', () => orders!.backend.cutCount === 1);
 });
 
 test('pipelined requests are answered in order', async t => {
@@ -197,7 +197,7 @@
   ]);
 });
 
-test('an upstream never has more at work than its slots', async t => {
+test('an upstream never executes more requests than it has slots', async t => {
   const fleet = await startFleet(t, {
     services: ['orders', 'atlas'],
     paths: [SAFE_PATH],
@@ -224,7 +224,7 @@
   }
 });
 
-test('a refused order has not run', async t => {
+test('a refused order is not executed', async t => {
   const fleet = await startFleet(t, {
     services: ['orders', 'atlas'],
     paths: [fleetPath({prefix: '/order/', kind: 'unsafe', sloS: 0.2})],
@@ -257,7 +257,7 @@
   t.is(new Set(runs).size, runs.length);
 });
 
-test('a lost store stops nobody, and news come with its return', async t => {
+test('requests are served without the store, and changes apply when it is back', async t => {
   const fleet = await startFleet(t, {
     services: ['orders', 'atlas'],
     paths: [SAFE_PATH],
@@ -280,7 +280,7 @@
   t.is(answer.statusCode, 200);
 });
 
-test('a client that leaves an unfinished request leaves nothing behind', async t => {
+test('an unfinished request of a disconnected client has no effect', async t => {
   const fleet = await startFleet(t, {
     services: ['orders'],
     paths: [ORDER_PATH],
--- a/test/contract/platform_repeats.test.ts
+++ b/test/contract/platform_repeats.test.ts
@@ -2,13 +2,13 @@
 import {ORDER_PATH, orderRequest, SAFE_PATH} from '../fakes/platform_fleet.js';
 import {startFleet} from '../fakes/test_fleet.js';
 
-/** More than a node needs to learn how long answers usually take. */
+/** More requests than a node needs to learn the usual response time. */
 const LEARNING_COUNT = 60;
 
-test('a read whose answer is lost is sent to another upstream', async t => {
-  // Symptom: reads fail at their deadline while other upstreams are free.
-  // Sequence: an upstream runs a request and its answer is lost without a word.
-  // Cause: the attempt was waited for to the deadline of the request.
+test('a read whose response is lost is retried at another upstream', async t => {
+  // Guards against reads that fail at their deadline while other upstreams are free: an
+  // upstream executes a request, its response is lost without an error, and the attempt
+  // ran to the deadline of the request.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders', 'orders'],
     paths: [SAFE_PATH, ORDER_PATH],
@@ -31,7 +31,7 @@
   t.deepEqual([...ranLost].sort(), ['i-2', 'i-3']);
 });
 
-test('an order whose answer is lost is never sent again', async t => {
+test('an order whose response is lost is never retried', async t => {
   const fleet = await startFleet(t, {
     services: ['shop', 'orders', 'orders'],
     paths: [SAFE_PATH, ORDER_PATH],
