--- a/src/protocol/crash_messages.ts
+++ b/src/protocol/crash_messages.ts
@@ -1,34 +1,34 @@
 /**
- * Crashes of upstreams as nodes report them to each other.
+ * Crash reports that nodes exchange about upstreams.
  */
 
 /** One crash with the requests that were in progress. */
 export interface CrashFields {
-  /** Unique among all crashes. */
+  /** Unique across all crashes. */
   readonly crashId: string;
   readonly upstreamId: string;
   readonly ageMillis: number;
-  /** Of requests that may have caused it. */
+  /** Fingerprints of requests that may have caused the crash. */
   readonly fingerprints: readonly string[];
-  /** Of requests that were answered elsewhere since. */
+  /** Fingerprints of requests that another upstream has answered since. */
   readonly clearedFingerprints: readonly string[];
 }
 
-/** Summary of what a node knows of one crash. */
+/** Summary of the data that a node holds for one crash. */
 export interface CrashSummary {
   readonly crashId: string;
-  /** Equal for equal knowledge. */
+  /** Equal for nodes that hold the same data. */
   readonly digest: string;
 }
 
-/** One message. */
+/** Crash report message. */
 export interface CrashReport {
-  /** Of all that the sender knows. */
+  /** Digest over all crashes that the sender has recorded. */
   readonly digest: string;
-  /** Crashes that the receiver may lack, in full or in part. */
+  /** Crashes that may be missing or incomplete at the receiver. */
   readonly crashes: readonly CrashFields[];
-  /** All crashes that the sender knows, where digests have differed. */
+  /** All crashes that the sender has recorded; sent after digests differed. */
   readonly summaries: readonly CrashSummary[];
-  /** Crashes that the sender asks for. */
+  /** Ids of crashes that the sender requests. */
   readonly wantedIds: readonly string[];
 }
--- a/src/protocol/crash_report_codec.ts
+++ b/src/protocol/crash_report_codec.ts
@@ -1,5 +1,5 @@
 /**
- * Reports of crashes as payloads of frames.
+ * Encodes and decodes crash reports as frame payloads.
  */
 import type {CrashFields, CrashReport, CrashSummary} from './crash_messages.js';
 import {
@@ -9,15 +9,15 @@
   parseList,
 } from './message_payload.js';
 
-/** First byte of a report that asks for one; other questions begin with 1 and 2. */
-const CRASH_REPORT = 3;
+/** First byte of a crash report; other queries begin with 1, 2 or 4. */
+const CRASH_REPORT_TYPE = 3;
 
-/** Whether a question of another node is a report of crashes. */
+/** Whether the payload of a query is a crash report. */
 export function isCrashReport(payload: Buffer): boolean {
-  return payload[0] === CRASH_REPORT;
+  return payload[0] === CRASH_REPORT_TYPE;
 }
 
-/** Writes a report; lists instead of objects keep it short. */
+/** Encodes a report; arrays instead of objects keep the payload short. */
 export function encodeCrashReport(report: CrashReport): Buffer {
   const crashes = report.crashes.map(crash => [
     crash.crashId,
@@ -30,33 +30,33 @@
     crashId,
     digest,
   ]);
-  const list = [report.digest, crashes, summaries, report.wantedIds];
-  const text = JSON.stringify(list);
-  return Buffer.concat([Buffer.from([CRASH_REPORT]), Buffer.from(text)]);
+  const fields = [report.digest, crashes, summaries, report.wantedIds];
+  const text = JSON.stringify(fields);
+  return Buffer.concat([Buffer.from([CRASH_REPORT_TYPE]), Buffer.from(text)]);
 }
 
-/** Reads a report; `undefined` if it is none. */
+/** Decodes a report; returns `undefined` if the payload is invalid. */
 export function decodeCrashReport(payload: Buffer): CrashReport | undefined {
   if (!isCrashReport(payload)) return undefined;
   const value = parseJson(payload.subarray(1).toString());
   if (!Array.isArray(value)) return undefined;
   const [digest, crashList, summaryList, wantedIds] =
     value as readonly unknown[];
-  const crashes = parseList(crashList, crashOf);
-  const summaries = parseList(summaryList, summaryOf);
-  if (typeof digest !== 'string' || !isTextList(wantedIds)) return undefined;
+  const crashes = parseList(crashList, parseCrash);
+  const summaries = parseList(summaryList, parseSummary);
+  if (typeof digest !== 'string' || !isStringList(wantedIds)) return undefined;
   if (crashes === undefined || summaries === undefined) return undefined;
   return {digest, crashes, summaries, wantedIds};
 }
 
-function summaryOf(value: unknown): CrashSummary | undefined {
-  if (!isTextList(value)) return undefined;
+function parseSummary(value: unknown): CrashSummary | undefined {
+  if (!isStringList(value)) return undefined;
   const [crashId, digest] = value;
   if (crashId === undefined || digest === undefined) return undefined;
   return {crashId, digest};
 }
 
-function crashOf(value: unknown): CrashFields | undefined {
+function parseCrash(value: unknown): CrashFields | undefined {
   if (!Array.isArray(value)) return undefined;
   const [crashId, upstreamId, ageMillis, fingerprints, cleared] =
     value as readonly unknown[];
@@ -64,7 +64,7 @@
     return undefined;
   }
   if (!isFiniteNumber(ageMillis) || ageMillis < 0) return undefined;
-  if (!isTextList(fingerprints) || !isTextList(cleared)) return undefined;
+  if (!isStringList(fingerprints) || !isStringList(cleared)) return undefined;
   return {
     crashId,
     upstreamId,
@@ -74,6 +74,6 @@
   };
 }
 
-function isTextList(value: unknown): value is readonly string[] {
+function isStringList(value: unknown): value is readonly string[] {
   return Array.isArray(value) && areStrings(value as readonly unknown[]);
 }
--- a/src/protocol/fulmarhollow_headers.ts
+++ b/src/protocol/fulmarhollow_headers.ts
@@ -1,9 +1,9 @@
 /**
- * Headers of the product's own interface to callers and upstreams.
+ * Header names of the fulmarhollow interface to callers and upstreams.
  */
 import type {WireHeaders} from './wire_headers.js';
 
-/** Lower-case names. */
+/** Lower-case header names. */
 export const FULMARHOLLOW_HEADERS: Required<
   Omit<WireHeaders, 'signature' | 'upstreamId'>
 > = {
--- a/src/protocol/hop_frames.ts
+++ b/src/protocol/hop_frames.ts
@@ -1,70 +1,76 @@
 /**
- * Frames between two nodes: a kind, a channel and a payload.
+ * Frames between two nodes: kind, channel id and payload.
  *
- * One connection carries many requests at once, each on a channel of its own.
- * A message of HTTP for each of them costs both nodes several times as much
- * processor time as the decisions made about it.
+ * Requests are multiplexed over one connection, each on its own channel. One
+ * HTTP message per request would cost both nodes several times the CPU time of
+ * the admission and routing decisions.
  */
 import {TransportError} from '../base/errors.js';
 
-/** Kinds of frames; the numbers are those on the wire. */
+/** Frame kinds; the numbers are the values on the wire. */
 export const FRAME_KIND = {
-  /** Identity of the process, first on each connection. */
+  /** Instance id of the process; first frame on each connection. */
   hello: 1,
-  /** Header of a request, with its body unless that is held back. */
+  /** Request header, with the body unless the body is deferred. */
   request: 2,
-  /** A slot is held: the body may follow. */
+  /** A slot is reserved; the sender may send the body. */
   bodyWanted: 3,
-  /** A piece of a body, and its last one. */
+  /** A body chunk, and the last body chunk. */
   body: 4,
   bodyEnd: 5,
-  /** What came of a request, with the body or its beginning. */
+  /** Result of a request, with the response body or its beginning. */
   answer: 6,
-  /** A piece of the rest of an answer, its end, and an end before its time. */
+  /** A chunk of the tail response body, its end, and its abort. */
   data: 7,
   dataEnd: 8,
   broken: 9,
-  /** The sender no longer waits for the channel. */
+  /** The sender no longer waits for a response on the channel. */
   cancel: 10,
-  /** Bytes of the rest that the receiver has passed on. */
+  /** Number of response body bytes that the receiver has consumed. */
   window: 11,
-  /** Asks for a sign of life; with a payload, for loads, changes, crashes or quotas as well. */
+  /**
+   * Keep-alive probe; its payload, if any, queries loads, changes, crashes or
+   * quotas.
+   */
   ping: 12,
-  /** The sign, with loads if they were asked for. */
+  /** Response to a ping, with loads if they were queried. */
   pong: 13,
-  /** Asks for a request whose connection was lost, and what is known of it. */
+  /**
+   * Resumes a request whose connection was lost; the reply is its claim state.
+   */
   claim: 14,
   claimed: 15,
-  /** The process ends: nothing new, and the sender ends the connection. */
+  /**
+   * The process is stopping: no new requests; the sender closes the connection.
+   */
   goingAway: 16,
-  /** Changes of the published documents that were asked for. */
+  /** Response to a query for changes of the published documents. */
   changes: 17,
-  /** Crashes of upstreams that the asking node lacks. */
+  /** Crashes that are missing at the node that sent a crash report. */
   crashes: 18,
-  /** What the coordinator of quotas answers to a report. */
+  /** Response of the quota coordinator to a quota report. */
   quotas: 19,
 } as const;
 
-/** Kind of a frame. */
 export type FrameKind = (typeof FRAME_KIND)[keyof typeof FRAME_KIND];
 
-/** One frame as received. */
+/** A received frame. */
 export interface Frame {
   readonly kind: number;
-  /** 0 for what concerns the connection. */
+  /** 0 for frames that concern the whole connection. */
   readonly channelId: number;
   readonly payload: Buffer;
 }
 
-/** Length of the payload, kind, channel. */
+/** Payload length, kind and channel id. */
 const HEADER_BYTES = 9;
 const KIND_OFFSET = 4;
 const CHANNEL_OFFSET = 5;
 
-/** Bound on one payload: pieces of bodies are far smaller, headers are bounded. */
+/** Maximum payload; body chunks are far smaller, and headers are bounded. */
 const MAX_PAYLOAD_BYTES = 2_097_152;
 
-/** Writes one frame. */
+/** Encodes one frame. */
 export function encodeFrame(
   kind: FrameKind,
   channelId: number,
@@ -81,58 +87,60 @@
   return frame;
 }
 
-/** Cuts a stream of bytes into frames. */
+/** Splits a byte stream into frames. */
 export interface FrameReader {
-  /** Takes the next bytes; throws if they are no frames. */
+  /**
+   * Processes the next bytes; throws a `TransportError` if they are not frames.
+   */
   push(chunk: Buffer): void;
 }
 
-/** Creates a reader at the beginning of a connection. */
+/** Creates a reader for the start of a connection. */
 export function createFrameReader(
   onFrame: (frame: Frame) => void,
 ): FrameReader {
   let chunks: Buffer[] = [];
-  let heldBytes = 0;
+  let bufferedBytes = 0;
   let neededBytes = HEADER_BYTES;
 
   return {
     push: chunk => {
       chunks.push(chunk);
-      heldBytes += chunk.length;
-      // A payload that comes in many pieces is joined once.
-      if (heldBytes < neededBytes) return;
+      bufferedBytes += chunk.length;
+      // Chunks are concatenated once per frame, not once per chunk.
+      if (bufferedBytes < neededBytes) return;
       const bytes = chunks.length === 1 ? chunk : Buffer.concat(chunks);
-      const rest = readFrames(bytes, onFrame);
-      chunks = rest.length > 0 ? [rest] : [];
-      heldBytes = rest.length;
-      neededBytes = frameBytes(rest) ?? HEADER_BYTES;
+      const remainder = readFrames(bytes, onFrame);
+      chunks = remainder.length > 0 ? [remainder] : [];
+      bufferedBytes = remainder.length;
+      neededBytes = frameLengthBytes(remainder) ?? HEADER_BYTES;
     },
   };
 }
 
-/** Reads all whole frames and returns the bytes after them. */
+/** Reads all complete frames and returns the remaining bytes. */
 function readFrames(bytes: Buffer, onFrame: (frame: Frame) => void): Buffer {
   let offset = 0;
   for (;;) {
-    const left = bytes.subarray(offset);
-    const length = frameBytes(left);
-    if (length === undefined || left.length < length) return left;
+    const tail = bytes.subarray(offset);
+    const length = frameLengthBytes(tail);
+    if (length === undefined || tail.length < length) return tail;
     onFrame({
-      kind: left.readUInt8(KIND_OFFSET),
-      channelId: left.readUInt32BE(CHANNEL_OFFSET),
-      payload: left.subarray(HEADER_BYTES, length),
+      kind: tail.readUInt8(KIND_OFFSET),
+      channelId: tail.readUInt32BE(CHANNEL_OFFSET),
+      payload: tail.subarray(HEADER_BYTES, length),
     });
     offset += length;
   }
 }
 
-/** Length of the frame that begins here; `undefined` before its header is in. */
-function frameBytes(bytes: Buffer): number | undefined {
+/** Length of the next frame; `undefined` until its header has been received. */
+function frameLengthBytes(bytes: Buffer): number | undefined {
   if (bytes.length < HEADER_BYTES) return undefined;
   const payloadBytes = bytes.readUInt32BE(0);
   if (payloadBytes > MAX_PAYLOAD_BYTES) {
     throw new TransportError(
-      `A frame of ${String(payloadBytes)} bytes exceeds the bound`,
+      `A frame of ${String(payloadBytes)} bytes exceeds the maximum frame payload`,
       {props: {step: 'read-frame'}},
     );
   }
--- a/src/protocol/hop_messages.ts
+++ b/src/protocol/hop_messages.ts
@@ -1,78 +1,83 @@
 /**
- * What messages between two nodes about one request say.
+ * Messages between two nodes about one request.
  */
 
-/** A request for the upstream beside the receiving node. */
+/** A request for the upstream of the receiving node. */
 export interface HopRequest {
-  /** Identity of this hop, unique among nodes for as long as it is remembered. */
+  /** Id of this hop, unique across nodes while the receiver remembers it. */
   readonly hopId: string;
   readonly attemptId: string;
-  /** The upstream that was chosen; any other one refuses. */
+  /** Id of the selected upstream; any other upstream refuses the request. */
   readonly upstreamId: string;
   readonly callerService: string;
   readonly method: string;
   readonly target: string;
-  /** Names and values in turn. */
+  /** Names and values, alternating. */
   readonly headers: readonly string[];
   readonly isRepeatable: boolean;
   readonly bodyForm: BodyForm;
   /** Time until the deadline. */
   readonly leftMillis: number;
-  /** Time until the latest useful start. */
+  /** Time until the latest start that can still meet the deadline. */
   readonly startWithinMillis: number;
-  /** What its like usually takes at this service, as far as its sender knows. */
+  /**
+   * Usual duration of similar requests at this service, as measured by the
+   * sender.
+   */
   readonly usualMillis?: number | undefined;
   readonly origin: OriginFields;
-  /** Up to which its sender has the documents in force, if it reports it. */
+  /** Position of the documents in force at the sender, if it reports one. */
   readonly knownPosition?: PositionFields | undefined;
 }
 
-/** Where the body of a request is. */
+/** How the body of a request is sent. */
 export type BodyForm =
-  /** In the same frame. */
+  /** In the same frame as the request. */
   | 'inline'
-  /** In frames that follow at once. */
+  /** In frames that follow immediately. */
   | 'follows'
-  /** At the sender until the receiver asks for it. */
+  /** Only after the receiver has requested it. */
   | 'held-back';
 
-/** What the calls of a request inherit, as sent. */
+/** Origin that calls inherit from the request that made them. */
 export interface OriginFields {
   readonly importance: number;
-  /** Organisation whose client sent the root, if clients have API keys. */
+  /**
+   * Organisation whose client sent the root request, if clients use API keys.
+   */
   readonly organisationName?: string | undefined;
   readonly rootId: string;
   readonly rootRouteName: string;
-  /** Age of the root's attempt. */
+  /** Time since the attempt of the root request began. */
   readonly rootAgeMillis: number;
   readonly isRepeat: boolean;
-  /** Repeats that go with the request. */
+  /** Retries that are delegated to the receiver with the request. */
   readonly repeatsCount: number;
 }
 
-/** Position in the source of the published documents, as sent. */
+/** Position in the source of the published documents. */
 export interface PositionFields {
-  /** 0 from a node of a version that sends revisions alone. */
+  /** 0 if the sender runs a version that reports revisions only. */
   readonly epoch: number;
   readonly revision: number;
 }
 
-/** How an attempt ended at the node beside the upstream. */
+/** How an attempt ended at the node of the upstream. */
 export type HopOutcome =
-  /** The answer is the upstream's. */
+  /** The upstream responded. */
   | 'answered'
-  /** Not run, and it will not be. */
+  /** Not run, and it will not run. */
   | 'refused'
   /** It may have run. */
   | 'unknown';
 
-/** Why an attempt was refused or its outcome is not known. */
+/** Why an attempt was refused or its outcome is unknown. */
 export type HopReason =
   | 'none'
   | 'draining'
-  /** Its node knows that this upstream is not there. */
+  /** The node has determined that its host runs another upstream. */
   | 'other-upstream'
-  /** The upstream was handed it and says that it is another one. */
+  /** The upstream received the request and reported another upstream id. */
   | 'misdirected'
   | 'queue-full'
   | 'too-late'
@@ -80,79 +85,82 @@
   | 'not-executed'
   | 'broken-answer'
   | 'connection-lost'
-  /** The upstream's process ended while it worked on the request. */
+  /** The upstream process ended while it worked on the request. */
   | 'upstream-crashed'
-  /** Not run, since it crashes the upstreams that run it. */
+  /** Not run: the request crashes the upstreams that run it. */
   | 'quarantined'
-  /** Not run now, since it may crash upstreams and is tried apart from others. */
+  /**
+   * Not run now: a suspect of a crash, which is run isolated from other
+   * requests.
+   */
   | 'isolated'
   | 'silent'
   | 'timeout'
   | 'cancelled';
 
-/** What came of a request. */
+/** Result of a request at the receiving node. */
 export interface HopResponse {
   readonly outcome: HopOutcome;
   readonly reason: HopReason;
-  /** A call that was made for the request failed. */
+  /** A call made on behalf of the request failed. */
   readonly hasFailedCall: boolean;
-  /** Crashes under the request, if its upstream crashed; none otherwise. */
+  /** Number of crashes while the request ran; set if its upstream crashed. */
   readonly crashesCount?: number | undefined;
-  /** Repeats that went with the request and were not spent. */
+  /** Delegated retries that were not spent. */
   readonly unspentCount: number;
-  /** Calls made below, by service. */
+  /** Number of downstream calls, by service. */
   readonly calls: ReadonlyMap<string, number>;
   readonly loads: readonly LoadFields[];
-  /** Up to which the receiver has the documents in force, if it reports it. */
+  /** Position of the documents in force at the receiver, if it reports one. */
   readonly knownPosition?: PositionFields | undefined;
-  /** The upstream's answer; `undefined` unless the outcome is `answered`. */
+  /** Response of the upstream; `undefined` unless the outcome is `answered`. */
   readonly message: ResponseFields | undefined;
 }
 
-/** An upstream's answer without its body. */
+/** Response of an upstream without its body. */
 export interface ResponseFields {
   readonly statusCode: number;
-  /** Names and values in turn, as received. */
+  /** Names and values, alternating, as received. */
   readonly headers: readonly string[];
-  /** The upstream sent no length of the body. */
+  /** The response had neither a content length nor a transfer encoding. */
   readonly isUnframed: boolean;
-  /** More of the body follows in frames of its own. */
+  /** The remaining body follows in separate frames. */
   readonly hasRest: boolean;
 }
 
-/** Load of one upstream, as sent. */
+/** Load of one upstream. */
 export interface LoadFields {
   readonly upstreamId: string;
   readonly service: string;
   readonly inFlightCount: number;
   readonly queuedCount: number;
-  /** 0 while the upstream cannot be reached by its node. */
+  /** 0 while the node of the upstream cannot reach it. */
   readonly limitCount: number;
   /** Mean time for which a request holds a slot. */
   readonly averageMillis: number;
-  /** Least important value that it would like to receive. */
+  /** Lowest importance of requests that should be sent to it. */
   readonly level: number;
   readonly ageMillis: number;
-  /** Time it takes against that of its service, for requests alike. */
+  /** Response time relative to its service, for similar requests. */
   readonly slownessRatio?: number | undefined;
-  /** `undefined` while its service rejects nothing. */
+  /** `undefined` while the service rejects no requests. */
   readonly rejections?: RejectionFields | undefined;
 }
 
-/** Rejections of what an upstream is handed, as sent. */
+/** Rate of requests that an upstream rejects. */
 export interface RejectionFields {
   readonly rejectedPerSecond: number;
-  /** Requests that arrived, repeats and rejected ones included. */
+  /** Rate of all arriving requests, including retries and rejected requests. */
   readonly arrivedPerSecond: number;
 }
 
-/** What a node knows of a hop that its sender asks for. */
+/** State of a hop that its sender claims after a lost connection. */
 export type ClaimState =
-  /** It has not arrived, and would be refused now. */
+  /** Not received; it will be refused if it arrives later. */
   | 'unknown'
-  /** It is in progress, and goes on here. */
+  /** In progress; it continues on this connection. */
   | 'working'
-  /** It was answered, and the answer follows. */
+  /** Completed; the response follows. */
   | 'finished'
-  /** It was answered, and the answer is not kept any more. */
+  /** Completed; the response is no longer cached. */
   | 'gone';
--- a/src/protocol/hop_request_codec.ts
+++ b/src/protocol/hop_request_codec.ts
@@ -1,5 +1,5 @@
 /**
- * Requests between nodes as payloads of frames.
+ * Encodes and decodes requests between nodes as frame payloads.
  */
 import type {BodyForm, HopRequest, OriginFields} from './hop_messages.js';
 import type {WithBody} from './message_payload.js';
@@ -12,7 +12,10 @@
   splitPayload,
 } from './message_payload.js';
 
-/** Lists instead of objects: names would double the bytes between zones. */
+/**
+ * Arrays instead of objects: property names would double the bytes between
+ * zones.
+ */
 type OriginList = readonly [
   number,
   string,
@@ -20,7 +23,7 @@
   number,
   number,
   number,
-  // Only if clients have API keys.
+  // Present only if clients use API keys.
   ...([string] | []),
 ];
 type RequestList = readonly [
@@ -40,7 +43,7 @@
   ...PositionList,
 ];
 
-/** Writes a request; the body is empty unless it goes along. */
+/** Encodes a request; `body` is empty unless it is sent inline. */
 export function encodeHopRequest(request: HopRequest, body: Buffer): Buffer {
   const {origin} = request;
   const list: RequestList = [
@@ -62,7 +65,7 @@
       Math.round(origin.rootAgeMillis),
       origin.isRepeat ? 1 : 0,
       origin.repeatsCount,
-      ...listOfName(origin.organisationName),
+      ...toNameList(origin.organisationName),
     ],
     Math.round(request.usualMillis ?? 0),
     ...toPositionList(request.knownPosition),
@@ -70,7 +73,7 @@
   return joinPayload(list, body);
 }
 
-/** Reads a request; `undefined` if the payload is none. */
+/** Decodes a request; returns `undefined` if the payload is invalid. */
 export function decodeHopRequest(
   payload: Buffer,
 ): WithBody<HopRequest> | undefined {
@@ -81,7 +84,7 @@
   const headers = list[6];
   const leftMillis = list[9];
   const startWithinMillis = list[10];
-  const origin = originOf(list[11]);
+  const origin = parseOrigin(list[11]);
   const usualMillis = list[12];
   const knownPosition = parsePosition(list[13], list[14]);
   if (!areStrings([hopId, attemptId, upstreamId, callerService])) {
@@ -115,11 +118,11 @@
   };
 }
 
-function originOf(value: unknown): OriginFields | undefined {
+function parseOrigin(value: unknown): OriginFields | undefined {
   if (!Array.isArray(value)) return undefined;
   const list = value as readonly unknown[];
   const [importance, rootId, rootRouteName, rootAgeMillis, ...rest] = list;
-  const [repeat, repeats, organisationName] = rest;
+  const [repeatFlag, repeatsCount, organisationName] = rest;
   if (typeof rootId !== 'string') return undefined;
   if (typeof rootRouteName !== 'string') return undefined;
   if (!isFiniteNumber(importance) || !isFiniteNumber(rootAgeMillis)) {
@@ -130,12 +133,12 @@
     rootId,
     rootRouteName,
     rootAgeMillis,
-    isRepeat: repeat === 1,
-    repeatsCount: isFiniteNumber(repeats) ? repeats : 0,
+    isRepeat: repeatFlag === 1,
+    repeatsCount: isFiniteNumber(repeatsCount) ? repeatsCount : 0,
     ...(typeof organisationName === 'string' ? {organisationName} : {}),
   };
 }
 
-function listOfName(name: string | undefined): [string] | [] {
+function toNameList(name: string | undefined): [string] | [] {
   return name === undefined ? [] : [name];
 }
--- a/src/protocol/hop_response_codec.ts
+++ b/src/protocol/hop_response_codec.ts
@@ -1,5 +1,5 @@
 /**
- * Answers between nodes as payloads of frames.
+ * Encodes and decodes responses between nodes as frame payloads.
  */
 import type {
   ResponseFields,
@@ -20,7 +20,7 @@
 } from './message_payload.js';
 
 type MessageList = readonly [number, readonly string[], number, number];
-type AnswerList = readonly [
+type ResponseList = readonly [
   HopOutcome,
   HopReason,
   number,
@@ -29,20 +29,23 @@
   readonly LoadList[],
   MessageList | 0,
   ...PositionList,
-  // Crashes under the request, where its upstream crashed.
+  // Number of crashes while the request ran; present if its upstream crashed.
   ...([number] | []),
 ];
 
-/** Writes an answer with its body or the beginning of it. */
-export function encodeHopResponse(answer: HopResponse, start: Buffer): Buffer {
-  const {message} = answer;
-  const list: AnswerList = [
-    answer.outcome,
-    answer.reason,
-    answer.hasFailedCall ? 1 : 0,
-    answer.unspentCount,
-    [...answer.calls],
-    answer.loads.map(toLoadList),
+/** Encodes a response with its body or the beginning of its body. */
+export function encodeHopResponse(
+  response: HopResponse,
+  bodyStart: Buffer,
+): Buffer {
+  const {message} = response;
+  const list: ResponseList = [
+    response.outcome,
+    response.reason,
+    response.hasFailedCall ? 1 : 0,
+    response.unspentCount,
+    [...response.calls],
+    response.loads.map(toLoadList),
     message === undefined
       ? 0
       : [
@@ -51,26 +54,26 @@
           message.isUnframed ? 1 : 0,
           message.hasRest ? 1 : 0,
         ],
-    ...toPositionList(answer.knownPosition),
-    ...listOfCrashes(answer.crashesCount),
+    ...toPositionList(response.knownPosition),
+    ...toCrashesCountList(response.crashesCount),
   ];
-  return joinPayload(list, start);
+  return joinPayload(list, bodyStart);
 }
 
-function listOfCrashes(crashesCount: number | undefined): [number] | [] {
+function toCrashesCountList(crashesCount: number | undefined): [number] | [] {
   return crashesCount === undefined ? [] : [crashesCount];
 }
 
-/** Reads an answer; `undefined` if the payload is none. */
+/** Decodes a response; returns `undefined` if the payload is invalid. */
 export function decodeHopResponse(
   payload: Buffer,
 ): WithBody<HopResponse> | undefined {
   const parts = splitPayload(payload);
   if (parts === undefined) return undefined;
-  const list = parts.header as Partial<AnswerList>;
-  const [outcome, reason, failed, unspentCount] = list;
+  const list = parts.header as Partial<ResponseList>;
+  const [outcome, reason, failedCallFlag, unspentCount] = list;
   if (!isOutcome(outcome) || typeof reason !== 'string') return undefined;
-  const message = messageOf(list[6]);
+  const message = parseResponseFields(list[6]);
   const knownPosition = parsePosition(list[7], list[8]);
   const crashesCount = list[9];
   if (outcome === 'answered' && message === undefined) return undefined;
@@ -78,9 +81,9 @@
     message: {
       outcome,
       reason,
-      hasFailedCall: failed === 1,
+      hasFailedCall: failedCallFlag === 1,
       unspentCount: isFiniteNumber(unspentCount) ? unspentCount : 0,
-      calls: callsOf(list[4]),
+      calls: parseCalls(list[4]),
       loads: parseLoads(list[5]),
       ...(knownPosition === undefined ? {} : {knownPosition}),
       ...(isFiniteNumber(crashesCount) && crashesCount > 0
@@ -92,21 +95,21 @@
   };
 }
 
-function messageOf(value: unknown): ResponseFields | undefined {
+function parseResponseFields(value: unknown): ResponseFields | undefined {
   if (!Array.isArray(value)) return undefined;
   const list = value as readonly unknown[];
-  const [statusCode, headers, unframed, rest] = list;
+  const [statusCode, headers, unframedFlag, restFlag] = list;
   if (!isFiniteNumber(statusCode) || !Array.isArray(headers)) return undefined;
   if (!areStrings(headers)) return undefined;
   return {
     statusCode,
     headers: headers as readonly string[],
-    isUnframed: unframed === 1,
-    hasRest: rest === 1,
+    isUnframed: unframedFlag === 1,
+    hasRest: restFlag === 1,
   };
 }
 
-function callsOf(value: unknown): ReadonlyMap<string, number> {
+function parseCalls(value: unknown): ReadonlyMap<string, number> {
   const calls = new Map<string, number>();
   if (!Array.isArray(value)) return calls;
   for (const item of value as readonly unknown[]) {
--- a/src/protocol/load_codec.ts
+++ b/src/protocol/load_codec.ts
@@ -1,15 +1,18 @@
 /**
- * Loads of upstreams as they go with messages between nodes.
+ * Encodes and decodes upstream loads in messages between nodes.
  */
 import type {LoadFields, RejectionFields} from './hop_messages.js';
 import {isFiniteNumber} from './message_payload.js';
 
-/** Question for loads. */
+/** Query for loads. */
 export const LOADS_QUERY = Buffer.from([1]);
 
 type RejectionList = readonly [number, number];
 
-/** Lists instead of objects: names would double the bytes between zones. */
+/**
+ * Arrays instead of objects: property names would double the bytes between
+ * zones.
+ */
 export type LoadList = readonly [
   string,
   string,
@@ -20,10 +23,10 @@
   number,
   number,
   number,
-  // Only of upstreams that reject: this goes with each answer.
+  // Only for upstreams that reject requests, because every response carries it.
   ...(RejectionList | []),
 ];
-/** Tenths of a millisecond, or of one per second, are enough of a mean. */
+/** Means are rounded to tenths of a millisecond or of a request per second. */
 const MEAN_STEPS = 10;
 
 const SLOWNESS_STEPS = 100;
@@ -32,7 +35,7 @@
   return Math.round(mean * MEAN_STEPS) / MEAN_STEPS;
 }
 
-/** A load as it goes into a message. */
+/** Converts a load to its encoded form. */
 export function toLoadList(load: LoadFields): LoadList {
   return [
     load.upstreamId,
@@ -44,16 +47,16 @@
     load.level,
     Math.round(load.ageMillis),
     roundSlowness(load.slownessRatio),
-    ...listOfRejections(load.rejections),
+    ...toRejectionList(load.rejections),
   ];
 }
 
-/** Hundredths are enough; 0 stands for what is not known. */
+/** Rounds to hundredths; 0 means unknown. */
 function roundSlowness(ratio: number | undefined): number {
   return Math.round((ratio ?? 0) * SLOWNESS_STEPS) / SLOWNESS_STEPS;
 }
 
-function listOfRejections(
+function toRejectionList(
   rejections: RejectionFields | undefined,
 ): RejectionList | [] {
   if (rejections === undefined) return [];
@@ -63,18 +66,18 @@
   ];
 }
 
-/** Reads loads, leaving out what is none. */
+/** Parses loads and skips invalid entries. */
 export function parseLoads(value: unknown): readonly LoadFields[] {
   if (!Array.isArray(value)) return [];
   const loads: LoadFields[] = [];
   for (const item of value as readonly unknown[]) {
-    const load = loadOf(item);
+    const load = parseLoad(item);
     if (load !== undefined) loads.push(load);
   }
   return loads;
 }
 
-function loadOf(value: unknown): LoadFields | undefined {
+function parseLoad(value: unknown): LoadFields | undefined {
   if (!Array.isArray(value)) return undefined;
   const [upstreamId, service, ...figures] = value as readonly unknown[];
   if (typeof upstreamId !== 'string' || typeof service !== 'string') {
@@ -82,7 +85,7 @@
   }
   const [inFlight, queued, limit, average, level, age, slowness, ...rest] =
     figures;
-  const rejections = rejectionsOf(rest);
+  const rejections = parseRejections(rest);
   if (!isFiniteNumber(inFlight) || !isFiniteNumber(queued)) return undefined;
   if (!isFiniteNumber(limit) || !isFiniteNumber(average)) return undefined;
   if (!isFiniteNumber(level) || !isFiniteNumber(age)) return undefined;
@@ -102,7 +105,7 @@
   };
 }
 
-function rejectionsOf(
+function parseRejections(
   figures: readonly unknown[],
 ): RejectionFields | undefined {
   const [rejected, arrived] = figures;
@@ -113,12 +116,14 @@
   };
 }
 
-/** Writes the answer to a question about loads. */
+/** Encodes the response to a load query. */
 export function encodeLoads(loads: readonly LoadFields[]): Buffer {
   return Buffer.from(JSON.stringify(loads.map(toLoadList)));
 }
 
-/** Reads it, leaving out what is none; a node without any sends nothing. */
+/**
+ * Decodes the response and skips invalid loads; empty if the node reports none.
+ */
 export function decodeLoads(payload: Buffer): readonly LoadFields[] {
   if (payload.length === 0) return [];
   try {
--- a/src/protocol/message_payload.ts
+++ b/src/protocol/message_payload.ts
@@ -1,16 +1,17 @@
 /**
- * Payloads of messages between nodes: a header in JSON and the bytes of a body.
+ * Payload format of messages between nodes: a JSON header followed by the body
+ * bytes.
  */
 
 const LENGTH_BYTES = 4;
 
-/** A message with the body that came with it. */
+/** A decoded message and its body. */
 export interface WithBody<T> {
   readonly message: T;
   readonly body: Buffer;
 }
 
-/** Writes a header and the body after it. */
+/** Encodes a header followed by the body. */
 export function joinPayload(header: unknown, body: Buffer): Buffer {
   const text = JSON.stringify(header);
   const headerBytes = Buffer.byteLength(text);
@@ -21,13 +22,13 @@
   return payload;
 }
 
-/** A header and the body after it. */
+/** A decoded header and the body that follows it. */
 export interface PayloadParts {
   readonly header: readonly unknown[];
   readonly body: Buffer;
 }
 
-/** Reads both; `undefined` if the bytes are none. */
+/** Decodes header and body; returns `undefined` if the payload is invalid. */
 export function splitPayload(payload: Buffer): PayloadParts | undefined {
   if (payload.length < LENGTH_BYTES) return undefined;
   const end = LENGTH_BYTES + payload.readUInt32BE(0);
@@ -37,7 +38,7 @@
   return {header: header as readonly unknown[], body: payload.subarray(end)};
 }
 
-/** Parses JSON; `undefined` if the text is none. */
+/** Parses JSON; returns `undefined` if the text is invalid. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
@@ -46,12 +47,10 @@
   }
 }
 
-/** Whether a value of a header is a number that can be worked with. */
 export function isFiniteNumber(value: unknown): value is number {
   return typeof value === 'number' && Number.isFinite(value);
 }
 
-/** Whether all values are texts. */
 export function areStrings(values: readonly unknown[]): boolean {
   for (const value of values) {
     if (typeof value !== 'string') return false;
@@ -59,12 +58,12 @@
   return true;
 }
 
-/** Reads each item of a list; `undefined` if any cannot be read. */
+/** Parses each item of an array; returns `undefined` if any item is invalid. */
 export function parseList<T>(
   value: unknown,
-  read: (item: unknown) => T | undefined,
+  parseItem: (item: unknown) => T | undefined,
 ): readonly T[] | undefined {
   if (!Array.isArray(value)) return undefined;
-  const items = (value as readonly unknown[]).map(read);
+  const items = (value as readonly unknown[]).map(parseItem);
   return items.every(item => item !== undefined) ? items : undefined;
 }
--- a/src/protocol/position_codec.ts
+++ b/src/protocol/position_codec.ts
@@ -1,21 +1,20 @@
 /**
- * Positions in the source of the published documents, as they go with messages
- * between nodes.
+ * Encodes and decodes document source positions in messages between nodes.
  */
 import type {PositionFields} from './hop_messages.js';
 import {isFiniteNumber} from './message_payload.js';
 
-/** Revision, 0 for none, and epoch. */
+/** Revision, 0 if there is none, and epoch. */
 export type PositionList = readonly [number, number];
 
-/** A position as it goes into a message. */
+/** Converts a position to its encoded form. */
 export function toPositionList(
   position: PositionFields | undefined,
 ): PositionList {
   return position === undefined ? [0, 0] : [position.revision, position.epoch];
 }
 
-/** Reads a position; a node of the version before sends no epoch. */
+/** Parses a position; nodes of the previous version send no epoch. */
 export function parsePosition(
   revision: unknown,
   epoch: unknown,
--- a/src/protocol/quota_codec.ts
+++ b/src/protocol/quota_codec.ts
@@ -1,5 +1,5 @@
 /**
- * Reports of the use of quotas and their answers as payloads of frames.
+ * Encodes and decodes quota reports and their responses as frame payloads.
  */
 import type {
   QuotaAllowance,
@@ -8,24 +8,26 @@
 } from './quota_messages.js';
 import {isFiniteNumber, parseJson, parseList} from './message_payload.js';
 
-/** First byte of a report; other questions begin with 1, 2 and 3. */
-const QUOTA_REPORT = 4;
+/** First byte of a quota report; other queries begin with 1, 2 or 3. */
+const QUOTA_REPORT_TYPE = 4;
 
-/** Hundredths are enough of a share, whole milliseconds of a time. */
+/**
+ * Ratios are rounded to hundredths; times are rounded to whole milliseconds.
+ */
 const RATIO_STEPS = 100;
 
-/** Whether a question of another node is a report of quotas. */
+/** Whether the payload of a query is a quota report. */
 export function isQuotaReport(payload: Buffer): boolean {
-  return payload[0] === QUOTA_REPORT;
+  return payload[0] === QUOTA_REPORT_TYPE;
 }
 
-/** Writes a report; lists instead of objects keep it short. */
+/** Encodes a report; arrays instead of objects keep the payload short. */
 export function encodeQuotaReport(report: QuotaReport): Buffer {
-  const uses = report.uses.map(use => [
-    use.organisation,
-    use.ranCount,
-    use.unconfirmedCount,
-    withoutTrailingZeros(use.offeredCounts),
+  const uses = report.uses.map(usage => [
+    usage.organisation,
+    usage.ranCount,
+    usage.unconfirmedCount,
+    withoutTrailingZeros(usage.offeredCounts),
   ]);
   const text = JSON.stringify([
     report.reporterId,
@@ -33,16 +35,16 @@
     report.sequence,
     uses,
   ]);
-  return Buffer.concat([Buffer.from([QUOTA_REPORT]), Buffer.from(text)]);
+  return Buffer.concat([Buffer.from([QUOTA_REPORT_TYPE]), Buffer.from(text)]);
 }
 
-/** Reads a report; `undefined` if it is none. */
+/** Decodes a report; returns `undefined` if the payload is invalid. */
 export function decodeQuotaReport(payload: Buffer): QuotaReport | undefined {
   if (!isQuotaReport(payload)) return undefined;
   const value = parseJson(payload.subarray(1).toString());
   if (!Array.isArray(value)) return undefined;
   const [reporterId, zone, sequence, list] = value as readonly unknown[];
-  const uses = parseList(list, useOf);
+  const uses = parseList(list, parseUsage);
   if (typeof reporterId !== 'string' || typeof zone !== 'string') {
     return undefined;
   }
@@ -50,7 +52,7 @@
   return {reporterId, zone, sequence, uses};
 }
 
-/** Writes the answer to a report. */
+/** Encodes the response to a report. */
 export function encodeQuotaAllowances(
   allowances: readonly QuotaAllowance[],
 ): Buffer {
@@ -67,11 +69,11 @@
   return Buffer.from(JSON.stringify(lists));
 }
 
-/** Reads an answer; `undefined` if it is none. */
+/** Decodes the response; returns `undefined` if the payload is invalid. */
 export function decodeQuotaAllowances(
   payload: Buffer,
 ): readonly QuotaAllowance[] | undefined {
-  return parseList(parseJson(payload.toString()), allowanceOf);
+  return parseList(parseJson(payload.toString()), parseAllowance);
 }
 
 function withoutTrailingZeros(counts: readonly number[]): readonly number[] {
@@ -79,7 +81,7 @@
   return counts.slice(0, last + 1);
 }
 
-function useOf(value: unknown): QuotaUsage | undefined {
+function parseUsage(value: unknown): QuotaUsage | undefined {
   if (!Array.isArray(value)) return undefined;
   const [organisation, ranCount, unconfirmedCount, offeredCounts] =
     value as readonly unknown[];
@@ -91,25 +93,25 @@
   return {organisation, ranCount, unconfirmedCount, offeredCounts};
 }
 
-function allowanceOf(value: unknown): QuotaAllowance | undefined {
+function parseAllowance(value: unknown): QuotaAllowance | undefined {
   if (!Array.isArray(value)) return undefined;
-  const [organisation, ratios, returnMillis, ran, limit, settling] =
+  const [organisation, ratios, returnMillis, ranRate, limitRate, settlingFlag] =
     value as readonly unknown[];
   if (typeof organisation !== 'string' || !areNumbers(ratios)) return undefined;
   if (
     !isFiniteNumber(returnMillis) ||
-    !isFiniteNumber(ran) ||
-    !isFiniteNumber(limit)
+    !isFiniteNumber(ranRate) ||
+    !isFiniteNumber(limitRate)
   ) {
     return undefined;
   }
   return {
     organisation,
-    isSettling: settling === 1,
+    isSettling: settlingFlag === 1,
     admittedRatios: ratios,
     returnMillis,
-    ranPerSecond: ran,
-    limitPerSecond: limit,
+    ranPerSecond: ranRate,
+    limitPerSecond: limitRate,
   };
 }
 
--- a/src/protocol/quota_messages.ts
+++ b/src/protocol/quota_messages.ts
@@ -1,46 +1,53 @@
 /**
- * What nodes report to the coordinator of an organisation's quota, and what it
- * answers.
+ * Messages between nodes and the coordinator of an organisation's quota.
  */
 
-/** Use of quotas at one node, sent to the coordinator of these organisations. */
+/**
+ * Quota usage at one node, for the organisations that the receiver coordinates.
+ */
 export interface QuotaReport {
   /** Identifies one start of the reporting process. */
   readonly reporterId: string;
   /** Availability zone of the reporting node. */
   readonly zone: string;
-  /** Rises with each report of a reporter; an older one that comes late is stale. */
+  /** Increases with each report of a reporter; lower numbers are stale. */
   readonly sequence: number;
   readonly uses: readonly QuotaUsage[];
 }
 
-/** Use of one organisation's quota at one node. */
+/** Usage of one organisation's quota at one node. */
 export interface QuotaUsage {
   readonly organisation: string;
-  /** Requests that have run, less those taken back, since the process started. */
+  /**
+   * Requests that ran since the process started, minus those recorded as not
+   * run.
+   */
   readonly ranCount: number;
-  /** Part of these that no coordinator has confirmed yet. */
+  /** Part of `ranCount` that no coordinator has confirmed yet. */
   readonly unconfirmedCount: number;
   /** Requests offered since the last report, by rank of their route. */
   readonly offeredCounts: readonly number[];
 }
 
-/** What a coordinator answers to a report, one for each organisation in it. */
+/** Response of a coordinator for one organisation in a report. */
 export interface QuotaAllowance {
   readonly organisation: string;
-  /** The coordinator has just taken over and does not know demand yet. */
+  /** The coordinator has just taken over and has no measure of demand yet. */
   readonly isSettling: boolean;
   /**
-   * Share of the requests to admit, by rank of their route; a rank beyond the
-   * last one has the share of the last. Empty while all are admitted.
+   * Share of the requests to admit, by rank of their route; the last value also
+   * applies to all higher ranks. Empty while all requests are admitted.
    */
   readonly admittedRatios: readonly number[];
-  /** Time until the quota has room again; 0 while it has. */
+  /** Time until the quota has capacity again; 0 if it has capacity now. */
   readonly returnMillis: number;
-  /** Requests that ran in the whole fleet, as far as the coordinator knows. */
+  /**
+   * Rate of requests that ran in the whole fleet, as reported to the
+   * coordinator.
+   */
   readonly ranPerSecond: number;
   readonly limitPerSecond: number;
 }
 
-/** Ranks that quotas distinguish; those beyond count as the last. */
+/** Number of distinct ranks; higher ranks count as the last one. */
 export const QUOTA_RANKS_COUNT = 8;
--- a/src/protocol/relay_codec.ts
+++ b/src/protocol/relay_codec.ts
@@ -1,10 +1,11 @@
 /**
- * Questions of nodes for changes of the published documents, and their answers.
+ * Encodes and decodes queries for changes of the published documents, and their
+ * responses.
  */
 import {isFiniteNumber, parseJson} from './message_payload.js';
 import type {PositionFields} from './hop_messages.js';
 
-/** A change, as sent. */
+/** A document change as sent. */
 export interface ChangeFields {
   readonly key: string;
   readonly revision: number;
@@ -12,33 +13,35 @@
   readonly text: string | undefined;
 }
 
-/** What a node that was asked knows. */
+/** Response of the queried node. */
 export interface RelayResponse {
   readonly position: PositionFields;
-  /** Its own watches of the source go well. */
+  /** The node watches the source without errors. */
   readonly isWatching: boolean;
-  /** `undefined` if it does not know all of them. */
+  /**
+   * `undefined` if the node does not have all changes since the queried
+   * position.
+   */
   readonly changes: readonly ChangeFields[] | undefined;
 }
 
-/** First byte of a question for changes; one for loads alone begins with 1. */
-const CHANGES_WANTED = 2;
+/** First byte of a query for changes; a query for loads begins with 1. */
+const RELAY_QUERY_TYPE = 2;
 
-/** Writes a question for what came after a position. */
+/** Encodes a query for all changes after a position. */
 export function encodeRelayQuery(position: PositionFields): Buffer {
   const text = JSON.stringify([position.epoch, position.revision]);
-  return Buffer.concat([Buffer.from([CHANGES_WANTED]), Buffer.from(text)]);
+  return Buffer.concat([Buffer.from([RELAY_QUERY_TYPE]), Buffer.from(text)]);
 }
 
-/** Reads a question; `undefined` if it is none for changes. */
+/** Decodes a query; returns `undefined` if it is not a query for changes. */
 export function decodeRelayQuery(payload: Buffer): PositionFields | undefined {
-  if (payload[0] !== CHANGES_WANTED) return undefined;
-  return positionOf(parseJson(payload.subarray(1).toString()));
+  if (payload[0] !== RELAY_QUERY_TYPE) return undefined;
+  return parsePositionList(parseJson(payload.subarray(1).toString()));
 }
 
-/** Writes an answer. */
-export function encodeRelayResponse(answer: RelayResponse): Buffer {
-  const {position, isWatching, changes} = answer;
+export function encodeRelayResponse(response: RelayResponse): Buffer {
+  const {position, isWatching, changes} = response;
   return Buffer.from(
     JSON.stringify([
       [position.epoch, position.revision],
@@ -48,30 +51,30 @@
   );
 }
 
-/** Reads an answer; `undefined` if it is none. */
+/** Decodes a response; returns `undefined` if the payload is invalid. */
 export function decodeRelayResponse(
   payload: Buffer,
 ): RelayResponse | undefined {
   const value = parseJson(payload.toString());
   if (!Array.isArray(value)) return undefined;
-  const [place, watching, list] = value as readonly unknown[];
-  const position = positionOf(place);
+  const [positionList, watchingFlag, items] = value as readonly unknown[];
+  const position = parsePositionList(positionList);
   if (position === undefined) return undefined;
-  const isWatching = watching === 1;
-  if (!Array.isArray(list)) return {position, isWatching, changes: undefined};
-  const changes = (list as readonly unknown[]).map(changeOf);
+  const isWatching = watchingFlag === 1;
+  if (!Array.isArray(items)) return {position, isWatching, changes: undefined};
+  const changes = (items as readonly unknown[]).map(parseChange);
   if (!changes.every(change => change !== undefined)) return undefined;
   return {position, isWatching, changes};
 }
 
-function changeOf(value: unknown): ChangeFields | undefined {
+function parseChange(value: unknown): ChangeFields | undefined {
   if (!Array.isArray(value)) return undefined;
   const [key, revision, text] = value as readonly unknown[];
   if (typeof key !== 'string' || !isFiniteNumber(revision)) return undefined;
   return {key, revision, text: typeof text === 'string' ? text : undefined};
 }
 
-function positionOf(value: unknown): PositionFields | undefined {
+function parsePositionList(value: unknown): PositionFields | undefined {
   if (!Array.isArray(value)) return undefined;
   const [epoch, revision] = value as readonly unknown[];
   if (!isFiniteNumber(epoch) || !isFiniteNumber(revision)) return undefined;
--- a/src/protocol/wire_headers.ts
+++ b/src/protocol/wire_headers.ts
@@ -1,38 +1,44 @@
 /**
- * Names of the headers that clients and upstreams use, chosen by a deployment.
+ * Names of the headers that clients and upstreams use, configured per
+ * deployment.
  */
 
-/** Lower-case header names, one field for each meaning. */
+/** Lower-case header names, one field per meaning. */
 export interface WireHeaders {
-  /** Identity of one attempt of a client. */
+  /** Id of one attempt of a client. */
   readonly attemptId: string;
-  /** Milliseconds the sender still waits. */
+  /** Remaining time for which the sender waits, in milliseconds. */
   readonly timeoutMillis: string;
-  /** Clients give the attempt's id; without one a request is refused. */
+  /** Requests of clients without an attempt id are refused. */
   readonly isAttemptIdRequired: boolean;
-  /** Mark of an answer that an upstream made itself, where there is one. */
+  /**
+   * Signature that marks a response as produced by the upstream, if it sends
+   * one.
+   */
   readonly signature?: string;
   /** Id of the only upstream that may run the request. */
   readonly expectedUpstreamId: string;
-  /** Id of the upstream that answers, if it sends one. */
+  /** Id of the responding upstream, if it sends one. */
   readonly upstreamId?: string;
-  /** Mark of an answer which states that the request was not run. */
+  /** Marks a response that reports that the request was not run. */
   readonly notExecuted: string;
-  /** Service on whose host the request began. */
+  /** Service on whose host the request originated. */
   readonly callerService: string;
-  /** Name of the organisation whose client sent the request; set by nodes only. */
+  /**
+   * Name of the organisation whose client sent the request; set by nodes only.
+   */
   readonly organisation: string;
-  /** What a node adds to its answers, where clients want to know. */
+  /** Headers that a node adds to its responses, if clients use them. */
   readonly notes?: NoteHeaders;
 }
 
-/** Headers of answers that report how a request was treated. */
+/** Response headers that report how a request was handled. */
 export interface NoteHeaders {
-  /** `not-run` or `unknown`, on failures of the node's own. */
+  /** `not-run` or `unknown`, on failures reported by the node itself. */
   readonly outcome: string;
-  /** Why, on failures of the node's own. */
+  /** Reason of a failure reported by the node itself. */
   readonly reason: string;
   readonly configurationVersion: string;
-  /** Repeats spent on the request over the whole chain. */
+  /** Retries spent on the request over the whole call chain. */
   readonly repeatsCount: string;
 }
--- a/test/unit/protocol/crash_report_codec.test.ts
+++ b/test/unit/protocol/crash_report_codec.test.ts
@@ -23,13 +23,13 @@
   wantedIds: ['c3'],
 };
 
-test('a report is read as it was written', t => {
+test('a report is unchanged after encoding and decoding', t => {
   const payload = encodeCrashReport(REPORT);
   t.true(isCrashReport(payload));
   t.deepEqual(decodeCrashReport(payload), REPORT);
 });
 
-test('a report of nothing is read, as it stands in the messages refused below', t => {
+test('an empty report is decoded; the invalid payloads below are variants of it', t => {
   const payload = Buffer.from('\u0003["1",[],[],[]]');
   t.deepEqual(decodeCrashReport(payload), {
     digest: '1',
@@ -39,14 +39,14 @@
   });
 });
 
-test('other questions of nodes are no reports', t => {
+test('other queries are not crash reports', t => {
   t.false(isCrashReport(LOADS_QUERY));
   t.false(isCrashReport(encodeRelayQuery({epoch: 1, revision: 2})));
   t.false(isCrashReport(Buffer.alloc(0)));
 });
 
-test('broken reports are rejected', t => {
-  const first = Buffer.from([3]);
+test('malformed reports are rejected', t => {
+  const typeByte = Buffer.from([3]);
   for (const text of [
     '',
     '{',
@@ -62,7 +62,7 @@
     '[1,[],[],[]]',
     '["1",[],[]]',
   ]) {
-    const payload = Buffer.concat([first, Buffer.from(text)]);
+    const payload = Buffer.concat([typeByte, Buffer.from(text)]);
     t.is(decodeCrashReport(payload), undefined, text);
   }
 });
--- a/test/unit/protocol/hop_codecs.test.ts
+++ b/test/unit/protocol/hop_codecs.test.ts
@@ -37,7 +37,7 @@
   knownPosition: {epoch: 3, revision: 4711},
 };
 
-const ANSWER: HopResponse = {
+const RESPONSE: HopResponse = {
   outcome: 'answered',
   reason: 'none',
   hasFailedCall: true,
@@ -64,23 +64,23 @@
   },
 };
 
-test('a request and its body come back as they were written', t => {
+test('a request and its body are unchanged after encoding and decoding', t => {
   const body = Buffer.from([0, 255, 10, 13]);
   const decoded = decodeHopRequest(encodeHopRequest(REQUEST, body));
   t.deepEqual(decoded?.message, REQUEST);
   t.deepEqual(Buffer.from(decoded?.body ?? []), body);
 });
 
-test('an answer and its body come back as they were written', t => {
+test('a response and its body are unchanged after encoding and decoding', t => {
   const body = Buffer.from('body');
-  const decoded = decodeHopResponse(encodeHopResponse(ANSWER, body));
-  t.deepEqual(decoded?.message, ANSWER);
+  const decoded = decodeHopResponse(encodeHopResponse(RESPONSE, body));
+  t.deepEqual(decoded?.message, RESPONSE);
   t.is(decoded?.body.toString(), 'body');
 });
 
-test('a refusal has no answer of an upstream', t => {
+test('a refusal carries no upstream response', t => {
   const refusal: HopResponse = {
-    ...ANSWER,
+    ...RESPONSE,
     outcome: 'refused',
     reason: 'queue-full',
     message: undefined,
@@ -89,7 +89,7 @@
   t.deepEqual(decodeHopResponse(payload)?.message, refusal);
 });
 
-test('bytes that are no message are told apart and never throw', t => {
+test('invalid bytes are rejected without throwing', t => {
   fc.assert(
     fc.property(fc.uint8Array({maxLength: 200}), bytes => {
       const payload = Buffer.from(bytes);
@@ -99,7 +99,7 @@
   );
 });
 
-/** The fields of a message, changed, as a message without a body. */
+/** Changes the encoded fields of a message that has no body. */
 function withFields(
   payload: Buffer,
   change: (list: readonly unknown[]) => readonly unknown[],
@@ -112,25 +112,26 @@
   return changed;
 }
 
-test('a request with a field missing or of another kind is none', t => {
-  const whole = encodeHopRequest(REQUEST, Buffer.alloc(0));
+test('a request with a missing or mistyped field is rejected', t => {
+  const encoded = encodeHopRequest(REQUEST, Buffer.alloc(0));
   for (const index of [0, 1, 2, 3, 4, 5, 6, 9, 10, 11]) {
-    const payload = withFields(whole, list => list.with(index, null));
+    const payload = withFields(encoded, list => list.with(index, null));
     t.is(decodeHopRequest(payload), undefined, `field ${String(index)}`);
   }
 });
 
-test('messages of a node that tells no epoch are read', t => {
-  // During a release nodes of two versions serve together.
+test('messages without an epoch are decoded', t => {
+  // Nodes of two versions run side by side during a release, and the previous
+  // version sends no epoch.
   const withoutEpoch = (list: readonly unknown[]) => list.slice(0, -1);
   const request = encodeHopRequest(REQUEST, Buffer.alloc(0));
   t.deepEqual(decodeHopRequest(withFields(request, withoutEpoch))?.message, {
     ...REQUEST,
     knownPosition: {epoch: 0, revision: 4711},
   });
-  const answer = encodeHopResponse(ANSWER, Buffer.alloc(0));
-  t.deepEqual(decodeHopResponse(withFields(answer, withoutEpoch))?.message, {
-    ...ANSWER,
+  const response = encodeHopResponse(RESPONSE, Buffer.alloc(0));
+  t.deepEqual(decodeHopResponse(withFields(response, withoutEpoch))?.message, {
+    ...RESPONSE,
     knownPosition: {epoch: 0, revision: 4712},
   });
 });
--- a/test/unit/protocol/hop_frames.test.ts
+++ b/test/unit/protocol/hop_frames.test.ts
@@ -7,18 +7,18 @@
   FRAME_KIND,
 } from '../../../src/protocol/hop_frames.js';
 
-/** Cuts bytes into pieces of the given lengths, the rest in one. */
-function cut(bytes: Buffer, lengths: readonly number[]): readonly Buffer[] {
-  const pieces: Buffer[] = [];
+/** Splits bytes into chunks of the given lengths; the last holds the rest. */
+function split(bytes: Buffer, lengths: readonly number[]): readonly Buffer[] {
+  const chunks: Buffer[] = [];
   let offset = 0;
   for (const length of lengths) {
-    pieces.push(bytes.subarray(offset, offset + length));
+    chunks.push(bytes.subarray(offset, offset + length));
     offset += length;
   }
-  return [...pieces, bytes.subarray(offset)].filter(piece => piece.length > 0);
+  return [...chunks, bytes.subarray(offset)].filter(chunk => chunk.length > 0);
 }
 
-test('frames are read however the network cuts them', t => {
+test('frames are decoded regardless of how the bytes are split', t => {
   const frame = fc.record({
     kind: fc.constantFrom(...Object.values(FRAME_KIND)),
     channelId: fc.integer({min: 0, max: 0xffffffff}),
@@ -26,7 +26,7 @@
   });
   const lengths = fc.array(fc.integer({min: 1, max: 40}), {maxLength: 60});
   fc.assert(
-    fc.property(fc.array(frame, {maxLength: 8}), lengths, (frames, cuts) => {
+    fc.property(fc.array(frame, {maxLength: 8}), lengths, (frames, splits) => {
       const bytes = Buffer.concat(
         frames.map(({kind, channelId, payload}) =>
           encodeFrame(kind, channelId, [Buffer.from(payload)]),
@@ -34,7 +34,7 @@
       );
       const read: Frame[] = [];
       const reader = createFrameReader(each => read.push(each));
-      for (const piece of cut(bytes, cuts)) reader.push(piece);
+      for (const chunk of split(bytes, splits)) reader.push(chunk);
       t.deepEqual(
         read.map(each => ({...each, payload: new Uint8Array(each.payload)})),
         frames.map(each => ({...each, payload: Uint8Array.from(each.payload)})),
@@ -43,13 +43,13 @@
   );
 });
 
-test('a length beyond the bound is refused before it is waited for', t => {
+test('a length beyond the limit is rejected before its payload arrives', t => {
   const reader = createFrameReader(() => undefined);
   const bytes = Buffer.from('GET / HTTP/1.1\r\n\r\n');
   t.throws(
     () => {
       reader.push(bytes);
     },
-    {message: /exceeds the bound/},
+    {message: /exceeds the maximum frame payload/},
   );
 });
--- a/test/unit/protocol/load_codec.test.ts
+++ b/test/unit/protocol/load_codec.test.ts
@@ -19,11 +19,11 @@
   rejections: {rejectedPerSecond: 89.6, arrivedPerSecond: 182.5},
 };
 
-test('loads come back as they were told', t => {
+test('loads are unchanged after encoding and decoding', t => {
   t.deepEqual(decodeLoads(encodeLoads([LOAD, REJECTING])), [LOAD, REJECTING]);
 });
 
-test('what is no list of loads tells nothing and throws nothing', t => {
+test('invalid loads are decoded as an empty list without throwing', t => {
   for (const text of ['', '{', '7', '{"a":1}', '[[]]', '[["u",3]]', '[null]']) {
     t.deepEqual(decodeLoads(Buffer.from(text)), [], text);
   }
--- a/test/unit/protocol/quota_codec.test.ts
+++ b/test/unit/protocol/quota_codec.test.ts
@@ -33,7 +33,7 @@
   },
 ];
 
-test('a report and its answer are read as written', t => {
+test('a report and its response are unchanged after encoding and decoding', t => {
   t.deepEqual(decodeQuotaReport(encodeQuotaReport(REPORT)), REPORT);
   t.deepEqual(
     decodeQuotaAllowances(encodeQuotaAllowances(ALLOWANCES)),
@@ -42,7 +42,7 @@
   t.true(isQuotaReport(encodeQuotaReport(REPORT)));
 });
 
-test('bytes that are no report or answer are none, and nothing throws', t => {
+test('invalid bytes are rejected without throwing', t => {
   t.notThrows(() => {
     fc.assert(
       fc.property(fc.uint8Array(), fc.json(), (bytes, json) => {
--- a/test/unit/protocol/relay_codec.test.ts
+++ b/test/unit/protocol/relay_codec.test.ts
@@ -10,10 +10,10 @@
 
 const POSITION = {epoch: 3, revision: 4711};
 
-test('a question and its answers come back as they were written', t => {
-  const question = encodeRelayQuery(POSITION);
-  t.deepEqual(decodeRelayQuery(question), POSITION);
-  const answers: readonly RelayResponse[] = [
+test('a query and its responses are unchanged after encoding and decoding', t => {
+  const query = encodeRelayQuery(POSITION);
+  t.deepEqual(decodeRelayQuery(query), POSITION);
+  const responses: readonly RelayResponse[] = [
     {position: POSITION, isWatching: true, changes: []},
     {position: POSITION, isWatching: false, changes: undefined},
     {
@@ -26,17 +26,17 @@
       ],
     },
   ];
-  for (const answer of answers) {
-    t.deepEqual(decodeRelayResponse(encodeRelayResponse(answer)), answer);
+  for (const response of responses) {
+    t.deepEqual(decodeRelayResponse(encodeRelayResponse(response)), response);
   }
 });
 
-test('a question for loads is none for changes', t => {
+test('a query for loads is not decoded as a query for changes', t => {
   t.is(decodeRelayQuery(Buffer.from([1])), undefined);
   t.is(decodeRelayQuery(Buffer.alloc(0)), undefined);
 });
 
-test('bytes that are no message are told apart and never throw', t => {
+test('invalid bytes are rejected without throwing', t => {
   fc.assert(
     fc.property(fc.uint8Array({maxLength: 100}), bytes => {
       t.is(decodeRelayQuery(Buffer.from([2, ...bytes])), undefined);
@@ -45,7 +45,7 @@
   );
 });
 
-test('one broken change makes an answer none', t => {
+test('a response with one malformed change is rejected', t => {
   for (const change of ['[1,2,"x"]', '["a","1","x"]', '1', 'null']) {
     const text = `[[3,4711],1,[["a",4712,"x"],${change}]]`;
     t.is(decodeRelayResponse(Buffer.from(text)), undefined, change);
