--- a/src/connection/bind_listener.ts
+++ b/src/connection/bind_listener.ts
@@ -1,15 +1,18 @@
 /**
- * Binds the listeners that requests come in by, with one error for all.
+ * Binds the listeners for incoming requests, with a uniform error.
  */
 import type {AddressInfo, Server} from 'node:net';
 import {describeError, TransportError} from '../base/errors.js';
 import {formatEndpoint} from '../process/settings/format_endpoint.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
 
-/** Connections that the system holds for the process to accept. */
+/** Maximum number of connections that wait to be accepted by the process. */
 const BACKLOG_COUNT = 1024;
 
-/** Resolves with the port; rejects with step and peer if it is not available. */
+/**
+ * Resolves with the port; rejects with a `TransportError` that names step and
+ * endpoint if the endpoint is unavailable.
+ */
 export function bindListener(
   server: Server,
   endpoint: Endpoint,
@@ -27,18 +30,19 @@
 }
 
 /**
- * Resolves once the listeners of this process have taken all connections that
- * the system has accepted for them. A listener that closes before resets those
- * that are left: their clients see a failure where they would have been told to
- * come back, and other nodes don't know whether a request that they sent has run.
+ * Resolves once the listeners of this process have accepted all connections
+ * that are in the backlog of the operating system. Closing a listener earlier
+ * resets those connections: clients would see a failure instead of a response
+ * that lets them retry, and other nodes could not determine whether a request
+ * that they sent has run.
  */
 export async function acceptPendingConnections(): Promise<void> {
-  // The first ends the turn of now, which may be past taking connections; they
-  // are taken in the whole turn between the two.
-  await endOfTurn();
-  await endOfTurn();
+  // The current event loop turn may already be past accepting connections; the
+  // complete turn after it accepts them.
+  await endOfEventLoopTurn();
+  await endOfEventLoopTurn();
 }
 
-function endOfTurn(): Promise<void> {
+function endOfEventLoopTurn(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/src/connection/body_rest_sender.ts
+++ b/src/connection/body_rest_sender.ts
@@ -1,36 +1,34 @@
 /**
- * Sends the rest of a long answer to the node that asked for it, no faster than
- * that node passes it on: what is held for a slow reader counts in the memory
- * of both nodes.
+ * Sends the remaining body of a long response to the requesting node, no faster
+ * than that node consumes it: buffered data for a slow reader takes memory on
+ * both nodes.
  */
 import type {Readable} from 'node:stream';
 import {FRAME_KIND} from '../protocol/hop_frames.js';
 import type {FrameConnection} from './frame_connection.js';
 
 /**
- * Bytes under way to one reader: at 1,000 Mbit/s this covers a round trip of
- * two milliseconds, and at some hundred readers stays within a small node.
+ * Bytes in flight to one reader: at 1,000 Mbit/s this covers a round trip of
+ * two milliseconds, and some hundred readers still fit into a small node.
  */
 export const BODY_REST_WINDOW_BYTES = 262_144;
 
-/** Sending side of one rest. */
+/** Sending side of one remaining response body. */
 export interface BodyRestSender {
-  /** The other side has passed on so many bytes. */
+  /** The receiver has consumed this many bytes. */
   extendWindow(bytes: number): void;
-  /** The rest is no longer wanted. */
+  /** Stops sending; the receiver no longer needs the body. */
   stop(): void;
 }
 
-/** What a sender needs. */
 export interface BodyRestSenderOptions {
   readonly connection: FrameConnection;
   readonly channelId: number;
   readonly bodyRest: Readable;
-  /** Called once, when all has been sent or it broke off. */
+  /** Called once, when the body has been sent completely or was aborted. */
   readonly onEnd: () => void;
 }
 
-/** Starts sending. */
 export function startBodyRestSender(
   options: BodyRestSenderOptions,
 ): BodyRestSender {
@@ -38,7 +36,7 @@
   let windowBytes = BODY_REST_WINDOW_BYTES;
   let isEnded = false;
 
-  const end = (): void => {
+  const finish = (): void => {
     if (isEnded) return;
     isEnded = true;
     options.onEnd();
@@ -50,15 +48,16 @@
   });
   bodyRest.on('end', () => {
     if (!isEnded) connection.send(FRAME_KIND.dataEnd, channelId);
-    end();
+    finish();
   });
   bodyRest.on('error', () => {
-    // The close that follows informs the receiver.
+    // The `close` event that follows notifies the receiver.
   });
   bodyRest.on('close', () => {
-    // A rest that closes before its end broke off, and must not look complete.
+    // A stream that closes before its end was aborted and must not look
+    // complete.
     if (!isEnded) connection.send(FRAME_KIND.broken, channelId);
-    end();
+    finish();
   });
   bodyRest.resume();
   return {
@@ -67,7 +66,7 @@
       if (windowBytes > 0) bodyRest.resume();
     },
     stop: () => {
-      end();
+      finish();
       bodyRest.destroy();
     },
   };
--- a/src/connection/crash_report_sender.ts
+++ b/src/connection/crash_report_sender.ts
@@ -1,30 +1,31 @@
 /**
- * Sends reports of crashes to other nodes, each on a connection of its own.
+ * Sends crash reports to other nodes, each on its own connection.
  *
- * A connection that requests share would be kept open by the reports, and requests
- * sent on it would wait for a node that a partition has silenced.
+ * On a connection shared with requests, reports would prevent the idle timeout,
+ * and requests sent on it would wait for a node behind a network partition.
  */
 import type {Endpoint} from '../process/settings/node_settings.js';
 import {FRAME_KIND} from '../protocol/hop_frames.js';
 import {openFrameConnection} from './frame_connection.js';
 
-/** Bound on one exchange; a node that is reachable answers within milliseconds. */
+/** Timeout of one exchange; a reachable node responds within milliseconds. */
 const EXCHANGE_TIMEOUT_MILLIS = 400;
 
-const NOTHING = (): void => undefined;
+const noop = (): void => undefined;
 
-/** Sends a report; the receiver may answer it with one of its own. */
+/** Sends a report; the receiver may respond with a report of its own. */
 export function sendCrashReport(
   peer: Endpoint,
   report: Buffer,
   onAnswer: (report: Buffer) => void,
 ): void {
   const connection = openFrameConnection(peer, {
-    onConnected: NOTHING,
-    onDataReceived: NOTHING,
+    onConnected: noop,
+    onDataReceived: noop,
     onFrame: ({kind, payload}) => {
       if (kind === FRAME_KIND.crashes) onAnswer(payload);
-      // The answer to the ping, behind that to the report if there is one.
+      // Response to the ping below; it follows the response to the report, if
+      // any.
       if (kind === FRAME_KIND.pong) connection.end();
     },
     onClosed: () => {
--- a/src/connection/document_follower.ts
+++ b/src/connection/document_follower.ts
@@ -1,8 +1,8 @@
 /**
- * Follows the documents below one prefix of a source: a read of all, then one
- * watch after the other with pauses in which changes gather, again from the
- * start when the history was lost. While another node watches for this one, it
- * calls the source only for what that node does not have.
+ * Follows the documents below one prefix of a source: one initial read, then
+ * consecutive watches with pauses that batch changes, and a new read after the
+ * history was lost. While another node watches on behalf of this one, the
+ * source is called only for changes that the other node cannot provide.
  */
 import * as Effect from 'effect/Effect';
 import {describeError} from '../base/errors.js';
@@ -18,7 +18,6 @@
 import {followRelay, RELAY_POLL_INTERVAL_MILLIS} from './relay_follower.js';
 import {waitForStalePosition} from './wait_for_stale_position.js';
 
-/** What a follower needs. */
 export interface DocumentFollowerOptions extends FollowerStateOptions {
   readonly source: DocumentSource;
   readonly prefix: string;
@@ -26,20 +25,20 @@
 }
 
 /**
- * Time for which a watch may be behind other nodes: they get a change within
- * milliseconds of each other, and within a few tenths of a second from a slow
- * store. With the time that others need to notice, it stays within the bound.
+ * Maximum time for which a watch may lag behind other nodes: nodes receive a
+ * change within milliseconds of each other, or within a few tenths of a second
+ * from a slow store. Including the time until the lag is noticed, a change
+ * still takes effect within the configured bound.
  */
-const STALE_MILLIS = 400;
+const MAX_STALE_MILLIS = 400;
 
 /**
- * Interval at which a node that has lost the source asks it again while others tell
- * it of changes.
+ * Retry interval of a node that has lost the source while other nodes relay
+ * changes to it.
  */
 const RELAYED_RETRY_MILLIS = 3000;
 
-/** How a watch ended. */
-type WatchEnd = DocumentBatch | 'history-lost' | 'stale';
+type WatchResult = DocumentBatch | 'history-lost' | 'stale';
 
 /** Follows the documents until interrupted. */
 export function followDocuments(
@@ -47,65 +46,71 @@
 ): Effect.Effect<never> {
   const {source, prefix, pace, peerPositions, relay, nowMillis} = options;
   const state = createFollowerState(options);
-  /** When another node sent changes last. */
-  let toldMillis = -Infinity;
+  /** Time of the last response that relayed changes. */
+  let lastRelayResponseMillis = -Infinity;
 
-  const answered = (): void => {
+  const handleSourceResponse = (): void => {
     pace.recordSuccess();
     state.markReached();
     state.setSourceLost(false);
   };
 
   /**
-   * Returns the pause before the next call. A history that is lost again and
-   * again costs a read each time; what is changed after one may gather as well,
-   * and so may what a fleet publishes that has just started.
+   * Returns the pause before the next call. Changes are batched also after a
+   * repeated read, because every loss of the history costs a read, and after a
+   * first read without documents, because a fleet that has just started
+   * publishes many.
    */
-  const takeAll = (all: DocumentBatch): number => {
+  const applyRead = (snapshot: DocumentBatch): number => {
     const wasRead = state.position !== undefined;
-    answered();
-    state.reportCall('read', all);
-    state.applySnapshot(all);
-    const isNews = !wasRead && all.documents.length > 0;
-    return isNews ? 0 : pace.batchDelayMillis();
+    handleSourceResponse();
+    state.reportCall('read', snapshot);
+    state.applySnapshot(snapshot);
+    const isInitialContent = !wasRead && snapshot.documents.length > 0;
+    return isInitialContent ? 0 : pace.batchDelayMillis();
   };
 
   /** Returns the pause before the next call. */
-  const takeWatch = (after: SourcePosition, end: WatchEnd): number => {
-    if (end === 'stale') {
-      state.reportCall(end);
+  const applyWatchResult = (
+    after: SourcePosition,
+    result: WatchResult,
+  ): number => {
+    if (result === 'stale') {
+      state.reportCall(result);
       state.markStale();
       state.requireRead('once');
       return 0;
     }
-    answered();
-    if (end === 'history-lost') {
-      state.reportCall(end);
+    handleSourceResponse();
+    if (result === 'history-lost') {
+      state.reportCall(result);
       state.requireRead('until-read');
       return 0;
     }
-    // The same revision means another change now. A watch that went on from it
-    // would never tell what was written below it since the source was restored.
-    if (end.position.epoch !== after.epoch) {
-      state.reportCall('restored', end);
+    // After a restore, the source assigns the same revisions to other changes.
+    // A watch from the old position would miss changes below its revision.
+    if (result.position.epoch !== after.epoch) {
+      state.reportCall('restored', result);
       state.requireRead('until-read');
       return pace.readJitterMillis();
     }
-    const isUnchanged = end.documents.length === 0;
-    state.reportCall(isUnchanged ? 'unchanged' : 'changed', end);
-    state.applyChanges(after, end);
+    const isUnchanged = result.documents.length === 0;
+    state.reportCall(isUnchanged ? 'unchanged' : 'changed', result);
+    state.applyChanges(after, result);
     return isUnchanged ? 0 : pace.batchDelayMillis();
   };
 
-  const watch = (after: SourcePosition): Effect.Effect<WatchEnd, unknown> => {
-    const watched = Effect.tryPromise({
+  const watch = (
+    after: SourcePosition,
+  ): Effect.Effect<WatchResult, unknown> => {
+    const watchCall = Effect.tryPromise({
       try: signal =>
         source.watch(prefix, after.revision, pace.watchTimeoutMillis(), signal),
       catch: error => error,
     });
-    // A node that has lost the source is behind, and asks again soon anyway.
-    if (peerPositions === undefined || state.isLost) return watched;
-    return Effect.raceFirst(watched, untilStale(peerPositions));
+    // A node that has lost the source lags behind and retries soon anyway.
+    if (peerPositions === undefined || state.isLost) return watchCall;
+    return Effect.raceFirst(watchCall, untilStale(peerPositions));
   };
 
   /** Makes the next call; returns the pause after it. */
@@ -114,8 +119,8 @@
     const after = state.position;
     if (after !== undefined && state.readRequirement === 'no') {
       state.beginCall(false);
-      return Effect.flatMap(watch(after), end =>
-        attempt(() => takeWatch(after, end)),
+      return Effect.flatMap(watch(after), result =>
+        trySync(() => applyWatchResult(after, result)),
       );
     }
     state.beginCall(true);
@@ -123,16 +128,16 @@
       try: () => source.read(prefix),
       catch: error => error,
     });
-    return Effect.flatMap(read, all => attempt(() => takeAll(all)));
+    return Effect.flatMap(read, snapshot => trySync(() => applyRead(snapshot)));
   });
 
-  const failed = (error: unknown): number => {
+  const handleFailure = (error: unknown): number => {
     state.reportCall('failed');
     state.setSourceLost(true);
     const now = nowMillis();
     const pauseMillis = pace.retryDelayMillis(now - state.callStartedMillis);
-    // A node that gets changes from others misses nothing.
-    if (now - toldMillis < 2 * RELAY_POLL_INTERVAL_MILLIS) {
+    // A node that receives changes from other nodes misses nothing.
+    if (now - lastRelayResponseMillis < 2 * RELAY_POLL_INTERVAL_MILLIS) {
       return Math.max(pauseMillis, RELAYED_RETRY_MILLIS);
     }
     state.markLost(describeError(error));
@@ -140,7 +145,7 @@
   };
 
   const follow = step.pipe(
-    Effect.catch(error => Effect.sync(() => failed(error))),
+    Effect.catch(error => Effect.sync(() => handleFailure(error))),
     Effect.flatMap(pauseMillis =>
       pauseMillis > 0 ? Effect.sleep(pauseMillis) : Effect.void,
     ),
@@ -148,7 +153,7 @@
   );
   if (relay === undefined) return follow;
   const onResponse = (): void => {
-    toldMillis = nowMillis();
+    lastRelayResponseMillis = nowMillis();
   };
   return Effect.raceFirst(
     follow,
@@ -156,11 +161,11 @@
   );
 }
 
-/** Ends once this node has been behind another one for too long. */
+/** Completes once this node has lagged behind another node for too long. */
 function untilStale(peerPositions: PeerPositions): Effect.Effect<'stale'> {
   return waitForStalePosition(peerPositions).pipe(
-    Effect.andThen(Effect.sleep(STALE_MILLIS)),
-    // Another node may have sent it meanwhile.
+    Effect.andThen(Effect.sleep(MAX_STALE_MILLIS)),
+    // Another node may have relayed the changes meanwhile.
     Effect.flatMap(() =>
       peerPositions.isStale
         ? Effect.succeed('stale' as const)
@@ -169,7 +174,7 @@
   );
 }
 
-/** A listener that throws ends a call like one that failed. */
-function attempt<T>(run: () => T): Effect.Effect<T, unknown> {
-  return Effect.try({try: run, catch: error => error});
+/** Treats an exception of a listener like a failed call. */
+function trySync<T>(callback: () => T): Effect.Effect<T, unknown> {
+  return Effect.try({try: callback, catch: error => error});
 }
--- a/src/connection/document_listener.ts
+++ b/src/connection/document_listener.ts
@@ -1,52 +1,54 @@
 /**
- * What a follower of published documents reports to its owner.
+ * Events that a document follower reports to its owner.
  */
 import type {
   DocumentChange,
   SourcePosition,
 } from '../process/membership/document_source.js';
 
-/** What came of a call to the source. */
+/** Outcome of a call to the source. */
 export type SourceCall =
   | 'read'
-  /** A watch that brought changes. */
+  /** A watch returned changes. */
   | 'changed'
-  /** A watch that ran out. */
+  /** A watch timed out without changes. */
   | 'unchanged'
   | 'history-lost'
-  /** A watch whose source was restored from an older copy. */
+  /**
+   * A watch returned a new epoch: the source was restored from an older copy.
+   */
   | 'restored'
-  /** A watch that was given up, since other nodes know of later changes. */
+  /** A watch was cancelled because other nodes reported later changes. */
   | 'stale'
-  /** No call: another node sent changes. */
+  /** No call to the source: another node relayed changes. */
   | 'relayed'
   | 'failed';
 
-/** How one call to the source ended. */
+/** Details of a finished call to the source. */
 export interface SourceCallResult {
   readonly call: SourceCall;
-  /** Revision that a watch asked from; `undefined` for a read. */
+  /** Revision from which a watch started; `undefined` for a read. */
   readonly afterRevision: number | undefined;
-  /** Revision of the answer, if there is one. */
+  /** Revision of the response, if there is one. */
   readonly revision: number | undefined;
   readonly documentsCount: number;
   readonly tookMillis: number;
 }
 
-/** Reports of a follower to its owner. */
+/** Listener for events of a document follower. */
 export interface DocumentListener {
-  /** A call has ended; each one has its price. */
+  /** A call has finished; called for each call because calls are billed. */
   onCall(end: SourceCallResult): void;
-  /** All documents of now; what is missing no longer exists. */
+  /** All current documents; documents that are not listed no longer exist. */
   onSnapshot(documents: readonly DocumentChange[], revision: number): void;
   onChanges(documents: readonly DocumentChange[], revision: number): void;
   /**
-   * The source was restored from an older copy: what a read brings next may be
-   * older than what is known, or lack it.
+   * The source was restored from an older copy: the next read may return
+   * documents that are older than the known ones, or miss some of them.
    */
   onRestored(before: SourcePosition, now: SourcePosition): void;
-  /** The first failure after an answer. */
+  /** The first failure after a response. */
   onLost(reason: string): void;
-  /** The first answer, and the first one after a failure. */
+  /** The first response, and the first response after a failure. */
   onReached(wasLostMillis: number): void;
 }
--- a/src/connection/execution.ts
+++ b/src/connection/execution.ts
@@ -1,5 +1,5 @@
 /**
- * Execution of one attempt of a request at one upstream, here or elsewhere.
+ * Execution of one attempt of a request at a local or remote upstream.
  */
 import type {CancelSignal} from '../base/cancel_signal.js';
 import type {CallCounts} from '../process/admission/call_trees.js';
@@ -11,35 +11,37 @@
 /** One attempt. */
 export interface ExecutionCall {
   readonly attemptId: string;
-  /** Service on whose host the request began. */
+  /** Service on whose host the request originated. */
   readonly callerService: string;
   readonly method: string;
   readonly target: string;
-  /** Without headers that concern one connection or that nodes set. */
+  /** Without connection headers and headers that nodes set. */
   readonly headers: RawHeaders;
   readonly body: Buffer;
   readonly isRepeatable: boolean;
   readonly origin: CallOrigin;
-  /** On this node's clock. */
+  /** On the clock of this node. */
   readonly deadlineMillis: number;
-  /** Latest useful start at the upstream. */
+  /** Latest start at the upstream that can still meet the deadline. */
   readonly startByMillis: number;
-  /** What its like usually takes at this service, if any was answered. */
+  /**
+   * Usual duration of similar requests at this service, once one has completed.
+   */
   readonly usualMillis?: number | undefined;
   readonly cancel: CancelSignal;
 }
 
-/** What came of an attempt. */
+/** Result of an attempt. */
 export type ExecutionResult =
   | {
       readonly kind: 'answered';
       readonly answer: ReceivedResponse;
-      /** Calls that were made for the request, by service. */
+      /** Downstream calls made on behalf of the request, by service. */
       readonly calls: CallCounts;
-      /** A call made for the request failed. */
+      /** A call made on behalf of the request failed. */
       readonly hasFailedCall: boolean;
     }
-  /** Not run, and it will not be. */
+  /** Not run, and it will not run. */
   | {
       readonly kind: 'refused';
       readonly reason: HopReason;
@@ -49,6 +51,8 @@
       readonly kind: 'unknown';
       readonly reason: HopReason;
       readonly hasFailedCall: boolean;
-      /** Crashes under the request so far, if its upstream crashed. */
+      /**
+       * Number of crashes while the request ran; set if its upstream crashed.
+       */
       readonly crashesCount?: number | undefined;
     };
--- a/src/connection/follower_state.ts
+++ b/src/connection/follower_state.ts
@@ -1,6 +1,6 @@
 /**
- * What a follower of published documents knows and does, for its two tasks: the
- * calls to the source, and the questions to other nodes.
+ * State of a document follower, shared by its two tasks: calls to the source,
+ * and polls of other nodes.
  */
 import * as Effect from 'effect/Effect';
 import type {
@@ -12,85 +12,98 @@
 import type {PeerPositions} from '../process/membership/peer_positions.js';
 import type {DocumentListener, SourceCall} from './document_listener.js';
 
-/** Whether the next call has to be a read. */
+/** Whether the next call must be a read. */
 export type ReadRequirement =
   | 'no'
-  /** The last position is still one to watch from if the read fails. */
+  /** One read; if it fails, watches continue from the last position. */
   | 'once'
-  /** It is none any more. */
+  /** The last position is invalid: reads are retried until one succeeds. */
   | 'until-read';
 
 /** State of one follower. */
 export interface FollowerState {
-  /** Up to which all is known; `undefined` before the first read. */
+  /**
+   * Position up to which all documents are known; `undefined` before the first
+   * read.
+   */
   readonly position: SourcePosition | undefined;
   readonly readRequirement: ReadRequirement;
-  /** A read is under way, and will bring what was known as it began. */
+  /** A read is in progress; it returns the documents as of its start. */
   readonly isReading: boolean;
   /** The last call failed. */
   readonly isSourceLost: boolean;
-  /** Neither the source nor another node answers. */
+  /** Neither the source nor another node responds. */
   readonly isLost: boolean;
-  /** Another node watches for this one, and nothing is due. */
+  /** Another node watches on behalf of this one, and no read is required. */
   readonly isIdle: boolean;
-  /** Ends when it may not be idle any more. */
+  /** Completes when the follower is no longer idle. */
   readonly untilNotIdle: Effect.Effect<undefined>;
-  /** When the last call began. */
+  /** Start time of the last call. */
   readonly callStartedMillis: number;
-  /** Reports how a call ended; it began at the last one, or at another time. */
+  /**
+   * Reports how a call ended; `sinceMillis` defaults to the start of the last
+   * call.
+   */
   reportCall(
     call: SourceCall,
-    answer?: DocumentBatch,
+    response?: DocumentBatch,
     sinceMillis?: number,
   ): void;
   beginCall(isRead: boolean): void;
-  requireRead(due: ReadRequirement): void;
+  requireRead(requirement: ReadRequirement): void;
   setWatching(isWatching: boolean): void;
-  /** The source answered, or did not. */
+  /** Records whether the last call to the source failed. */
   setSourceLost(isLost: boolean): void;
-  /** A watch brings nothing, though other nodes know more. */
+  /** A watch returned no changes although other nodes have later ones. */
   markStale(): void;
-  /** The source or another node answered. */
+  /** The source or another node responded. */
   markReached(): void;
-  /** Neither does from now on. */
+  /** Neither the source nor another node responds any more. */
   markLost(reason: string): void;
-  applySnapshot(all: DocumentBatch): void;
-  /** Takes changes that lead on from a position, which others may have overtaken. */
+  applySnapshot(snapshot: DocumentBatch): void;
+  /**
+   * Applies changes that follow a position; relayed changes may already be
+   * later than it.
+   */
   applyChanges(after: SourcePosition, read: DocumentBatch): void;
 }
 
-/** What the state of a follower needs. */
 export interface FollowerStateOptions {
   readonly listener: DocumentListener;
-  /** Later revisions that other nodes report; left out, none does. */
+  /** Later positions that other nodes report; if omitted, none are reported. */
   readonly peerPositions?: PeerPositions | undefined;
-  /** Changes from other nodes; left out, this node watches the source itself. */
+  /**
+   * Changes from other nodes; if omitted, this node always watches the source.
+   */
   readonly relay?: DocumentRelay | undefined;
   readonly nowMillis: () => number;
 }
 
-/** Creates the state of a follower that knows nothing. */
+/** Creates the state of a follower that has not read yet. */
 export function createFollowerState(
   options: FollowerStateOptions,
 ): FollowerState {
   const {listener, peerPositions, relay, nowMillis} = options;
   let position: SourcePosition | undefined;
-  let readDue: ReadRequirement = 'until-read';
+  let readRequirement: ReadRequirement = 'until-read';
   let isReading = false;
   let isSourceLost = false;
   let isWatching = relay === undefined;
   let isStale = false;
   let isFirst = true;
   let lostAtMillis: number | undefined;
-  let askedMillis = 0;
+  let callStartedMillis = 0;
   let wake = (): void => undefined;
 
   const isIdle = (): boolean =>
-    !isWatching && !isSourceLost && position !== undefined && readDue === 'no';
+    !isWatching &&
+    !isSourceLost &&
+    position !== undefined &&
+    readRequirement === 'no';
 
-  const noteDuty = (): void => {
-    const isWell = position !== undefined && !isSourceLost && !isStale;
-    relay?.setWatching(isWatching && isWell);
+  const updateWatching = (): void => {
+    const isHealthy = position !== undefined && !isSourceLost && !isStale;
+    relay?.setWatching(isWatching && isHealthy);
   };
 
   return {
@@ -98,7 +111,7 @@
       return position;
     },
     get readRequirement() {
-      return readDue;
+      return readRequirement;
     },
     get isReading() {
       return isReading;
@@ -110,7 +123,7 @@
       return lostAtMillis !== undefined;
     },
     get callStartedMillis() {
-      return askedMillis;
+      return callStartedMillis;
     },
     get isIdle() {
       return isIdle();
@@ -121,40 +134,40 @@
       };
       if (!isIdle()) wake();
     }),
-    reportCall: (call, answer, sinceMillis = askedMillis) => {
+    reportCall: (call, response, sinceMillis = callStartedMillis) => {
       listener.onCall({
         call,
         afterRevision: call === 'read' ? undefined : position?.revision,
-        revision: answer?.position.revision,
-        documentsCount: answer?.documents.length ?? 0,
+        revision: response?.position.revision,
+        documentsCount: response?.documents.length ?? 0,
         tookMillis: Math.round(nowMillis() - sinceMillis),
       });
     },
     beginCall: isRead => {
-      askedMillis = nowMillis();
+      callStartedMillis = nowMillis();
       isReading = isRead;
-      if (isRead && readDue === 'once') readDue = 'no';
+      if (isRead && readRequirement === 'once') readRequirement = 'no';
     },
-    requireRead: due => {
-      readDue = due;
+    requireRead: requirement => {
+      readRequirement = requirement;
       wake();
     },
-    setWatching: next => {
-      isWatching = next;
-      noteDuty();
+    setWatching: nextPosition => {
+      isWatching = nextPosition;
+      updateWatching();
       if (!isIdle()) wake();
     },
     setSourceLost: isLost => {
       isReading = false;
       isSourceLost = isLost;
       isStale = false;
-      noteDuty();
+      updateWatching();
     },
-    // Until the source answers, nodes that ask this one have to ask others: a
-    // source that hangs is known to be lost only seconds later.
+    // Until the source responds, nodes that poll this one must switch to other
+    // nodes: a hanging source is detected as lost only seconds later.
     markStale: () => {
       isStale = true;
-      noteDuty();
+      updateWatching();
     },
     markReached: () => {
       if (!isFirst && lostAtMillis === undefined) return;
@@ -168,24 +181,24 @@
       lostAtMillis = nowMillis();
       listener.onLost(reason);
     },
-    applySnapshot: all => {
-      const {documents, position: next} = all;
-      if (position !== undefined && position.epoch !== next.epoch) {
-        listener.onRestored(position, next);
+    applySnapshot: snapshot => {
+      const {documents, position: nextPosition} = snapshot;
+      if (position !== undefined && position.epoch !== nextPosition.epoch) {
+        listener.onRestored(position, nextPosition);
       }
-      listener.onSnapshot(documents, next.revision);
-      position = next;
-      peerPositions?.recordRead(next);
-      relay?.recordRead(all);
-      readDue = 'no';
-      noteDuty();
+      listener.onSnapshot(documents, nextPosition.revision);
+      position = nextPosition;
+      peerPositions?.recordRead(nextPosition);
+      relay?.recordRead(snapshot);
+      readRequirement = 'no';
+      updateWatching();
     },
     applyChanges: (after, read) => {
-      const before = position ?? after;
+      const previous = position ?? after;
       const documents = read.documents.filter(
-        ({revision}) => revision > before.revision,
+        ({revision}) => revision > previous.revision,
       );
-      position = laterPosition(before, read.position);
+      position = laterPosition(previous, read.position);
       if (documents.length > 0) {
         listener.onChanges(documents, position.revision);
       }
--- a/src/connection/frame_connection.ts
+++ b/src/connection/frame_connection.ts
@@ -10,27 +10,28 @@
 
 /** One end of a connection. */
 export interface FrameConnection {
-  /** Queues a frame; frames of one turn of the event loop go out together. */
+  /** Queues a frame; frames of one event loop turn are sent together. */
   send(kind: FrameKind, channelId: number, ...parts: readonly Buffer[]): void;
-  /** Sends what is queued and ends the connection. */
+  /** Sends the queued frames and ends the connection. */
   end(): void;
-  /** Closes at once. */
+  /** Closes the connection immediately. */
   destroy(): void;
 }
 
-/** What a connection needs. */
 export interface FrameConnectionOptions {
-  /** Bytes came in. */
+  /** Called for each received chunk, before its frames. */
   readonly onDataReceived: () => void;
   readonly onFrame: (frame: Frame) => void;
-  /** Called once, when the connection has closed for whatever reason. */
+  /** Called once, when the connection has closed for any reason. */
   readonly onClosed: (reason: string) => void;
 }
 
-/** Connections that are opened here are read into one place and copied. */
+/**
+ * Shared read buffer of all outgoing connections; received bytes are copied.
+ */
 const READ_BUFFER = Buffer.allocUnsafe(65_536);
 
-/** Opens a connection to another node; frames may be sent on it at once. */
+/** Opens a connection to another node; frames may be sent immediately. */
 export function openFrameConnection(
   peer: Endpoint,
   options: FrameConnectionOptions & {readonly onConnected: () => void},
@@ -48,30 +49,30 @@
     },
   });
   socket.once('connect', options.onConnected);
-  const {connection, receive} = carryFrames(socket, options);
+  const {connection, receive} = createFrameTransport(socket, options);
   return connection;
 }
 
-/** Carries frames on a socket that another node has opened. */
+/** Carries frames on a connection that another node has opened. */
 export function acceptFrameConnection(
   socket: Socket,
   options: FrameConnectionOptions,
 ): FrameConnection {
-  const {connection, receive} = carryFrames(socket, options);
+  const {connection, receive} = createFrameTransport(socket, options);
   socket.on('data', receive);
   return connection;
 }
 
-interface CarriedFrames {
+interface FrameTransport {
   readonly connection: FrameConnection;
-  /** Takes the next bytes, which are its own from then on. */
+  /** Processes the next bytes and takes ownership of the buffer. */
   readonly receive: (chunk: Buffer) => void;
 }
 
-function carryFrames(
+function createFrameTransport(
   socket: Socket,
   options: FrameConnectionOptions,
-): CarriedFrames {
+): FrameTransport {
   let queued: Buffer[] = [];
   let closeReason = 'closed';
   let isClosed = false;
@@ -98,8 +99,8 @@
     try {
       reader.push(chunk);
     } catch (error) {
-      // What follows bytes that are no frames cannot be understood either; the
-      // reason goes to the owner, who logs it.
+      // Bytes after an invalid frame cannot be decoded; the owner receives the
+      // error as the close reason.
       fail(error);
     }
   };
@@ -114,8 +115,8 @@
   const connection: FrameConnection = {
     send: (kind, channelId, ...parts) => {
       if (isClosed) return;
-      // Many answers become ready in the same turn; each write of its own would
-      // cost a system call and a packet.
+      // Many responses become ready in the same turn; separate writes would
+      // each cost a system call and a packet.
       if (queued.length === 0) setImmediate(flush);
       queued.push(encodeFrame(kind, channelId, parts));
     },
--- a/src/connection/hop_connection.ts
+++ b/src/connection/hop_connection.ts
@@ -1,5 +1,5 @@
 /**
- * One connection to another node, with the requests on it.
+ * One connection to another node and the requests on it.
  */
 import type {Endpoint} from '../process/settings/node_settings.js';
 import type {Frame} from '../protocol/hop_frames.js';
@@ -14,68 +14,72 @@
 
 /** A connection to another node. */
 export interface HopConnection {
-  /** Process at the other end; `undefined` until it has introduced itself. */
+  /**
+   * Instance id of the peer process; `undefined` until its `hello` frame
+   * arrives.
+   */
   readonly instanceId: string | undefined;
-  /** Requests on it, and answers whose rest is under way. */
+  /**
+   * Requests without a response, and responses whose body is being received.
+   */
   readonly openCount: number;
   readonly lastReceivedMillis: number;
-  /** When the oldest request on it was sent; `undefined` if there is none. */
+  /** When the oldest open request was sent; `undefined` if there is none. */
   readonly waitingSinceMillis: number | undefined;
-  /** The process at the other end ends; nothing new may be sent. */
+  /** The peer process is stopping; no new requests may be sent. */
   readonly isGoingAway: boolean;
-  /** When it was used last. */
   readonly lastUsedMillis: number;
-  /** Requests on it that have no answer yet. */
+  /** Requests without a response. */
   hops(): readonly OutgoingHop[];
   send(hop: OutgoingHop): void;
-  /** Asks for a request whose connection was lost. */
+  /** Resumes a request whose connection was lost. */
   claim(hop: OutgoingHop): void;
-  /** Asks for a sign of life. */
   ping(): void;
-  /** Sends a question; its first byte is its kind. */
-  sendQuery(question: Buffer): void;
-  /** Closes it and returns the requests that were on it. */
+  /** Sends a query; its first byte is its type. */
+  sendQuery(query: Buffer): void;
+  /** Closes the connection and returns the requests that were on it. */
   closeAndTakeHops(): readonly OutgoingHop[];
 }
 
 /** Why a connection has closed. */
 export type HopConnectionCloseReason =
-  /** It was never open. */
+  /** The connection was never established. */
   | 'refused'
   | 'connect-timeout'
-  /** It was open, and the other end introduced itself. */
+  /** The connection had been established. */
   | 'closed';
 
-/** What a connection needs. */
 export interface HopConnectionOptions {
   readonly peer: Endpoint;
   readonly nowMillis: () => number;
-  /** The other end has introduced itself. */
+  /** The `hello` frame of the peer has arrived. */
   readonly onReady: () => void;
   readonly onDataReceived: () => void;
   readonly onLoads: (loads: readonly LoadFields[]) => void;
-  readonly onChanges: (answer: Buffer) => void;
-  /** Closed by the other end or the network, with the requests on it. */
+  readonly onChanges: (response: Buffer) => void;
+  /** Closed by the peer or the network, with the requests that were on it. */
   readonly onClosed: (
-    how: HopConnectionCloseReason,
+    reason: HopConnectionCloseReason,
     hops: readonly OutgoingHop[],
   ) => void;
 }
 
 /**
- * Bound on opening a connection: some round trips between regions of tens of
- * milliseconds each. A lost first packet is sent again only after a second,
- * when another node has long answered.
+ * Connect timeout: several round trips between regions of tens of milliseconds
+ * each. A lost first packet is retransmitted only after a second, long after
+ * another node could have responded.
  */
 const CONNECT_TIMEOUT_MILLIS = 250;
 
-/** Bytes of a body in one frame. */
-const PIECE_BYTES = 65_536;
+/** Body bytes per frame. */
+const BODY_CHUNK_BYTES = 65_536;
 
-const GRANT_LENGTH_BYTES = 4;
+const WINDOW_PAYLOAD_BYTES = 4;
 
-/** Plain fields, which are read for each choice of a connection. */
-interface OwnLink extends HopConnection {
+/**
+ * Plain fields instead of accessors, because each connection choice reads them.
+ */
+interface MutableHopConnection extends HopConnection {
   instanceId: string | undefined;
   openCount: number;
   lastReceivedMillis: number;
@@ -86,49 +90,52 @@
 
 interface Channel {
   readonly hop: OutgoingHop;
-  rest: ReceivedBodyRest | undefined;
+  bodyRest: ReceivedBodyRest | undefined;
 }
 
-/** Opens a connection; requests may be sent on it at once. */
+/** Opens a connection; requests may be sent immediately. */
 export function openHopConnection(
   options: HopConnectionOptions,
 ): HopConnection {
   const {peer, nowMillis} = options;
   const channels = new Map<number, Channel>();
-  let channelsCount = 0;
+  let lastChannelId = 0;
   let isConnected = false;
-  let isRetired = false;
+  let isClosedLocally = false;
   let hasTimedOut = false;
 
-  const timer = setTimeout(() => {
+  const connectTimer = setTimeout(() => {
     hasTimedOut = true;
     connection.destroy();
   }, CONNECT_TIMEOUT_MILLIS);
 
-  /** Only this side knows when nothing is on its way to a process that ends. */
-  const endIfLeft = (): void => {
-    if (link.isGoingAway && channels.size === 0) connection.end();
+  /**
+   * Ends the connection to a stopping process; only the sender can determine
+   * that no request is in flight to it.
+   */
+  const endIfDrained = (): void => {
+    if (hopConnection.isGoingAway && channels.size === 0) connection.end();
   };
-  const noteChannels = (): void => {
-    link.openCount = channels.size;
-    link.waitingSinceMillis = oldestStart(channels);
+  const updateChannelStats = (): void => {
+    hopConnection.openCount = channels.size;
+    hopConnection.waitingSinceMillis = oldestStartMillis(channels);
   };
   const closeChannel = (channelId: number): void => {
     channels.delete(channelId);
-    noteChannels();
-    endIfLeft();
+    updateChannelStats();
+    endIfDrained();
   };
   const openChannel = (hop: OutgoingHop): number => {
-    channelsCount += 1;
-    const channelId = channelsCount;
-    const channel: Channel = {hop, rest: undefined};
+    lastChannelId += 1;
+    const channelId = lastChannelId;
+    const channel: Channel = {hop, bodyRest: undefined};
     channels.set(channelId, channel);
-    noteChannels();
+    updateChannelStats();
     hop.detach = () => {
-      // Its answer has come, or its sender no longer waits.
-      if (channel.rest === undefined) cancelChannel(channelId);
+      // The response has arrived, or the sender no longer waits.
+      if (channel.bodyRest === undefined) cancelChannel(channelId);
     };
-    link.lastUsedMillis = nowMillis();
+    hopConnection.lastUsedMillis = nowMillis();
     return channelId;
   };
   const cancelChannel = (channelId: number): void => {
@@ -139,14 +146,14 @@
   const sendBody = (channelId: number, hop: OutgoingHop): void => {
     const {body} = hop;
     let offset = 0;
-    while (body.length - offset > PIECE_BYTES) {
-      const piece = body.subarray(offset, offset + PIECE_BYTES);
-      connection.send(FRAME_KIND.body, channelId, piece);
-      offset += PIECE_BYTES;
+    while (body.length - offset > BODY_CHUNK_BYTES) {
+      const chunk = body.subarray(offset, offset + BODY_CHUNK_BYTES);
+      connection.send(FRAME_KIND.body, channelId, chunk);
+      offset += BODY_CHUNK_BYTES;
     }
     connection.send(FRAME_KIND.bodyEnd, channelId, body.subarray(offset));
   };
-  const receiveAnswer = (channelId: number, payload: Buffer): void => {
+  const handleResponse = (channelId: number, payload: Buffer): void => {
     const channel = channels.get(channelId);
     if (channel === undefined) return;
     const decoded = decodeHopResponse(payload);
@@ -155,20 +162,20 @@
       channel.hop.fail('broken-answer');
       return;
     }
-    const {message: answer, body: bodyStart} = decoded;
-    const {message} = answer;
-    if (message?.hasRest === true) channel.rest = openRest(channelId);
+    const {message: response, body: bodyStart} = decoded;
+    const {message} = response;
+    if (message?.hasRest === true) channel.bodyRest = openBodyRest(channelId);
     else closeChannel(channelId);
     const received =
       message === undefined
         ? undefined
-        : {...message, bodyStart, bodyRest: channel.rest?.stream};
-    channel.hop.complete(answer, received);
+        : {...message, bodyStart, bodyRest: channel.bodyRest?.stream};
+    channel.hop.complete(response, received);
   };
-  const openRest = (channelId: number): ReceivedBodyRest =>
+  const openBodyRest = (channelId: number): ReceivedBodyRest =>
     createReceivedBodyRest({
       extendWindow: bytes => {
-        const payload = Buffer.allocUnsafe(GRANT_LENGTH_BYTES);
+        const payload = Buffer.allocUnsafe(WINDOW_PAYLOAD_BYTES);
         payload.writeUInt32BE(bytes, 0);
         connection.send(FRAME_KIND.window, channelId, payload);
       },
@@ -176,7 +183,7 @@
         cancelChannel(channelId);
       },
     });
-  const receiveClaimed = (channelId: number, state: ClaimState): void => {
+  const handleClaimState = (channelId: number, state: ClaimState): void => {
     const hop = channels.get(channelId)?.hop;
     if (hop === undefined) return;
     switch (state) {
@@ -192,19 +199,22 @@
         hop.fail('connection-lost');
     }
   };
-  const endRest = (channelId: number, failure: string | undefined): void => {
-    const rest = channels.get(channelId)?.rest;
+  const endBodyRest = (
+    channelId: number,
+    failure: string | undefined,
+  ): void => {
+    const bodyRest = channels.get(channelId)?.bodyRest;
     closeChannel(channelId);
-    if (failure === undefined) rest?.end();
-    else rest?.fail(failure);
+    if (failure === undefined) bodyRest?.end();
+    else bodyRest?.fail(failure);
   };
   const onFrame = ({kind, channelId, payload}: Frame): void => {
     const channel = channels.get(channelId);
     switch (kind) {
       case FRAME_KIND.hello:
-        link.instanceId = payload.toString();
+        hopConnection.instanceId = payload.toString();
         for (const {hop} of channels.values()) {
-          hop.instanceId = link.instanceId;
+          hop.instanceId = hopConnection.instanceId;
         }
         options.onReady();
         break;
@@ -214,19 +224,19 @@
         sendBody(channelId, channel.hop);
         break;
       case FRAME_KIND.answer:
-        receiveAnswer(channelId, payload);
+        handleResponse(channelId, payload);
         break;
       case FRAME_KIND.data:
-        channel?.rest?.push(payload);
+        channel?.bodyRest?.push(payload);
         break;
       case FRAME_KIND.dataEnd:
-        endRest(channelId, undefined);
+        endBodyRest(channelId, undefined);
         break;
       case FRAME_KIND.broken:
-        endRest(channelId, 'the upstream broke off');
+        endBodyRest(channelId, 'the upstream response is incomplete');
         break;
       case FRAME_KIND.claimed:
-        receiveClaimed(channelId, payload.toString() as ClaimState);
+        handleClaimState(channelId, payload.toString() as ClaimState);
         break;
       case FRAME_KIND.pong:
         if (payload.length > 0) options.onLoads(decodeLoads(payload));
@@ -235,33 +245,33 @@
         options.onChanges(payload);
         break;
       case FRAME_KIND.goingAway:
-        link.isGoingAway = true;
-        endIfLeft();
+        hopConnection.isGoingAway = true;
+        endIfDrained();
         break;
       default:
     }
   };
-  const takeHops = (): readonly OutgoingHop[] => {
+  const removeHops = (): readonly OutgoingHop[] => {
     const hops: OutgoingHop[] = [];
-    for (const {hop, rest} of channels.values()) {
-      if (rest !== undefined) {
-        rest.fail('the connection was lost');
+    for (const {hop, bodyRest} of channels.values()) {
+      if (bodyRest !== undefined) {
+        bodyRest.fail('the connection was lost');
         continue;
       }
       hop.detach = () => undefined;
       hops.push(hop);
     }
     channels.clear();
-    noteChannels();
+    updateChannelStats();
     return hops;
   };
   const connection = openFrameConnection(peer, {
     onDataReceived: () => {
-      link.lastReceivedMillis = nowMillis();
+      hopConnection.lastReceivedMillis = nowMillis();
       options.onDataReceived();
     },
     onConnected: () => {
-      clearTimeout(timer);
+      clearTimeout(connectTimer);
       isConnected = true;
       for (const {hop} of channels.values()) {
         if (!hop.isBodyHeldBack) hop.markSent();
@@ -269,14 +279,14 @@
     },
     onFrame,
     onClosed: () => {
-      clearTimeout(timer);
-      if (isRetired) return;
-      const how = hasTimedOut ? 'connect-timeout' : 'refused';
-      options.onClosed(isConnected ? 'closed' : how, takeHops());
+      clearTimeout(connectTimer);
+      if (isClosedLocally) return;
+      const reason = hasTimedOut ? 'connect-timeout' : 'refused';
+      options.onClosed(isConnected ? 'closed' : reason, removeHops());
     },
   });
 
-  const link: OwnLink = {
+  const hopConnection: MutableHopConnection = {
     instanceId: undefined,
     openCount: 0,
     lastReceivedMillis: 0,
@@ -285,11 +295,11 @@
     lastUsedMillis: nowMillis(),
     hops: () =>
       [...channels.values()]
-        .filter(channel => channel.rest === undefined)
+        .filter(channel => channel.bodyRest === undefined)
         .map(channel => channel.hop),
     send: hop => {
       const channelId = openChannel(hop);
-      hop.instanceId = link.instanceId;
+      hop.instanceId = hopConnection.instanceId;
       connection.send(FRAME_KIND.request, channelId, hop.request);
       if (hop.isBodyHeldBack) return;
       if (hop.body.length > 0) sendBody(channelId, hop);
@@ -302,22 +312,22 @@
     ping: () => {
       connection.send(FRAME_KIND.ping, 0);
     },
-    sendQuery: question => {
-      link.lastUsedMillis = nowMillis();
-      connection.send(FRAME_KIND.ping, 0, question);
+    sendQuery: query => {
+      hopConnection.lastUsedMillis = nowMillis();
+      connection.send(FRAME_KIND.ping, 0, query);
     },
     closeAndTakeHops: () => {
-      isRetired = true;
-      const hops = takeHops();
+      isClosedLocally = true;
+      const hops = removeHops();
       connection.destroy();
       return hops;
     },
   };
-  return link;
+  return hopConnection;
 }
 
-/** The oldest channel stands first. */
-function oldestStart(
+/** Channels are kept in the order in which they were opened. */
+function oldestStartMillis(
   channels: ReadonlyMap<number, Channel>,
 ): number | undefined {
   for (const {hop} of channels.values()) return hop.startedMillis;
--- a/src/connection/hop_listener.ts
+++ b/src/connection/hop_listener.ts
@@ -1,5 +1,5 @@
 /**
- * Receives the requests of other nodes.
+ * Receives requests from other nodes.
  */
 import type {Socket} from 'node:net';
 import {createServer} from 'node:net';
@@ -23,50 +23,55 @@
 } from './incoming_hop.js';
 import {createIncomingHop} from './incoming_hop.js';
 
-/** What a listener is made of. */
 export interface HopListenerOptions {
   readonly endpoint: Endpoint;
   /** Identifies this start of the process. */
   readonly instanceId: string;
-  /** Bound on the body of a request. */
+  /** Maximum size of a request body. */
   readonly bodyBytes: () => number;
-  /** Answers one request; must not reject. */
-  readonly handle: (arrival: IncomingHop) => Promise<void>;
-  /** Loads for a node that asks for them. */
+  /** Handles one request; must not reject. */
+  readonly handle: (hop: IncomingHop) => Promise<void>;
+  /** Loads to send to a node that queries them. */
   readonly loads: () => readonly LoadFields[];
-  /** Answers a question for changes; `undefined` if it is none. */
-  readonly answerRelayQuery: (question: Buffer) => Buffer | undefined;
-  /** Takes a report of crashes; returns one if the sender lacks any. */
+  /** Responds to a query for changes; returns `undefined` for other queries. */
+  readonly answerRelayQuery: (query: Buffer) => Buffer | undefined;
+  /**
+   * Processes a crash report; returns a report if the sender lacks any crashes.
+   */
   readonly receiveCrashReport: (report: Buffer) => Buffer | undefined;
-  /** Answers a report of the use of quotas; `undefined` if it is none. */
+  /** Responds to a quota report; returns `undefined` if it is invalid. */
   readonly answerQuotaReport: (report: Buffer) => Buffer | undefined;
   readonly nowMillis: () => number;
-  /** Bytes came that are no message of a node. */
+  /** A peer sent bytes that are not a valid message. */
   readonly onMalformed: (peer: string) => void;
 }
 
 /** An open listener. */
 export interface HopListener {
   readonly port: number;
-  /** Requests that were read and not yet answered in full. */
+  /** Requests that were received and whose response is not sent completely. */
   readonly busyCount: number;
   /**
-   * Accepts nothing more and lets senders end their connections, since a request
-   * may be on its way on each; resolves when the last one has ended.
+   * Stops accepting connections and lets senders close theirs, because a
+   * request may be in flight on each; resolves when the last one has closed.
    */
   close(): Promise<void>;
 }
 
-/** Interval at which loads of other upstreams are sent on each connection. */
-const REPORT_MILLIS = 100;
+/**
+ * Minimum interval between reports of other upstreams' loads on a connection.
+ */
+const LOAD_REPORT_MILLIS = 100;
 
-const EMPTY = Buffer.alloc(0);
+const EMPTY_PAYLOAD = Buffer.alloc(0);
 
-const NOTHING = (): void => undefined;
+const noop = (): void => undefined;
 
-/** State that all connections of a listener share. */
+/** State shared by all connections of a listener. */
 interface ListenerState {
-  readonly arrivals: ReturnType<typeof createHopRegistry<ManagedIncomingHop>>;
+  readonly incomingHops: ReturnType<
+    typeof createHopRegistry<ManagedIncomingHop>
+  >;
   busyCount: number;
   isClosing: boolean;
 }
@@ -76,16 +81,16 @@
   options: HopListenerOptions,
 ): Promise<HopListener> {
   const state: ListenerState = {
-    arrivals: createHopRegistry<ManagedIncomingHop>(options.nowMillis),
+    incomingHops: createHopRegistry<ManagedIncomingHop>(options.nowMillis),
     busyCount: 0,
     isClosing: false,
   };
   const connections = new Set<FrameConnection>();
   const server = createServer({noDelay: true}, socket => {
-    const served = serve(options, state, socket, () => {
-      connections.delete(served);
+    const connection = serveConnection(options, state, socket, () => {
+      connections.delete(connection);
     });
-    connections.add(served);
+    connections.add(connection);
   });
   const port = await bindListener(server, options.endpoint);
   return {
@@ -100,13 +105,13 @@
         server.close(() => {
           resolve();
         });
-        for (const served of connections) sayGoingAway(served);
+        for (const connection of connections) sendGoingAway(connection);
       });
     },
   };
 }
 
-function serve(
+function serveConnection(
   options: HopListenerOptions,
   state: ListenerState,
   socket: Socket,
@@ -114,22 +119,22 @@
 ): FrameConnection {
   const channels = new Map<number, ManagedIncomingHop>();
   const peer = socket.remoteAddress ?? 'unknown';
-  let reportedMillis = 0;
+  let lastLoadReportMillis = 0;
 
   const openChannel = (channelId: number): HopChannel => ({
     connection,
     channelId,
     isLoadReportDue: () => {
       const now = options.nowMillis();
-      if (now - reportedMillis < REPORT_MILLIS) return false;
-      reportedMillis = now;
+      if (now - lastLoadReportMillis < LOAD_REPORT_MILLIS) return false;
+      lastLoadReportMillis = now;
       return true;
     },
     close: () => {
       channels.delete(channelId);
     },
   });
-  const accept = (frame: Frame): void => {
+  const acceptRequest = (frame: Frame): void => {
     const {channelId} = frame;
     const decoded = decodeHopRequest(frame.payload);
     if (decoded === undefined) {
@@ -138,57 +143,57 @@
       return;
     }
     const {hopId} = decoded.message;
-    const arrival = createIncomingHop({
+    const hop = createIncomingHop({
       request: decoded.message,
       inlineBody: decoded.body,
       channel: openChannel(channelId),
       bodyBytes: options.bodyBytes,
       onAnswered: keptBytes => {
-        state.arrivals.end(hopId, keptBytes);
+        state.incomingHops.end(hopId, keptBytes);
       },
       onDone: () => {
         state.busyCount -= 1;
       },
     });
-    // Its sender knows that it has not arrived, and may have sent it
-    // elsewhere since.
-    if (!state.arrivals.begin(hopId, arrival)) {
-      refuse(connection, channelId);
+    // The sender has claimed this hop and learned that it had not arrived, so
+    // it may have resent the request to another node.
+    if (!state.incomingHops.begin(hopId, hop)) {
+      sendRefusal(connection, channelId);
       return;
     }
     state.busyCount += 1;
-    channels.set(channelId, arrival);
-    void options.handle(arrival);
+    channels.set(channelId, hop);
+    void options.handle(hop);
   };
-  const pong = (channelId: number, question: Buffer): void => {
-    if (question.length === 0) {
-      connection.send(FRAME_KIND.pong, channelId, EMPTY);
+  const handlePing = (channelId: number, query: Buffer): void => {
+    if (query.length === 0) {
+      connection.send(FRAME_KIND.pong, channelId, EMPTY_PAYLOAD);
       return;
     }
-    if (isCrashReport(question)) {
-      const report = options.receiveCrashReport(question);
+    if (isCrashReport(query)) {
+      const report = options.receiveCrashReport(query);
       if (report !== undefined) {
         connection.send(FRAME_KIND.crashes, channelId, report);
       }
       return;
     }
-    if (isQuotaReport(question)) {
-      const answer = options.answerQuotaReport(question);
-      if (answer !== undefined) {
-        connection.send(FRAME_KIND.quotas, channelId, answer);
+    if (isQuotaReport(query)) {
+      const response = options.answerQuotaReport(query);
+      if (response !== undefined) {
+        connection.send(FRAME_KIND.quotas, channelId, response);
       }
       return;
     }
-    const changes = options.answerRelayQuery(question);
+    const changes = options.answerRelayQuery(query);
     if (changes !== undefined) {
       connection.send(FRAME_KIND.changes, channelId, changes);
       return;
     }
     connection.send(FRAME_KIND.pong, channelId, encodeLoads(options.loads()));
   };
-  const claim = (frame: Frame): void => {
+  const handleClaim = (frame: Frame): void => {
     const {channelId} = frame;
-    const claimed = state.arrivals.claim(frame.payload.toString());
+    const claimed = state.incomingHops.claim(frame.payload.toString());
     connection.send(FRAME_KIND.claimed, channelId, Buffer.from(claimed.state));
     if (claimed.state === 'unknown' || claimed.state === 'gone') return;
     channels.set(channelId, claimed.hop);
@@ -196,29 +201,29 @@
   };
   const onFrame = (frame: Frame): void => {
     const {kind, channelId, payload} = frame;
-    const arrival = channels.get(channelId);
+    const hop = channels.get(channelId);
     switch (kind) {
       case FRAME_KIND.request:
-        accept(frame);
+        acceptRequest(frame);
         break;
       case FRAME_KIND.body:
-        arrival?.receiveBody(payload, false);
+        hop?.receiveBody(payload, false);
         break;
       case FRAME_KIND.bodyEnd:
-        arrival?.receiveBody(payload, true);
+        hop?.receiveBody(payload, true);
         break;
       case FRAME_KIND.cancel:
         channels.delete(channelId);
-        arrival?.abandon();
+        hop?.abandon();
         break;
       case FRAME_KIND.window:
-        arrival?.extendWindow(payload.readUInt32BE(0));
+        hop?.extendWindow(payload.readUInt32BE(0));
         break;
       case FRAME_KIND.ping:
-        pong(channelId, payload);
+        handlePing(channelId, payload);
         break;
       case FRAME_KIND.claim:
-        claim(frame);
+        handleClaim(frame);
         break;
       default:
         options.onMalformed(peer);
@@ -226,25 +231,25 @@
     }
   };
   const connection: FrameConnection = acceptFrameConnection(socket, {
-    onDataReceived: NOTHING,
+    onDataReceived: noop,
     onFrame,
     onClosed: () => {
-      const left = [...channels.values()];
+      const openHops = [...channels.values()];
       channels.clear();
-      for (const arrival of left) arrival.detach(connection);
+      for (const hop of openHops) hop.detach(connection);
       onClosed();
     },
   });
   connection.send(FRAME_KIND.hello, 0, Buffer.from(options.instanceId));
-  if (state.isClosing) sayGoingAway(connection);
+  if (state.isClosing) sendGoingAway(connection);
   return connection;
 }
 
-function sayGoingAway(connection: FrameConnection): void {
+function sendGoingAway(connection: FrameConnection): void {
   connection.send(FRAME_KIND.goingAway, 0);
 }
 
-function refuse(connection: FrameConnection, channelId: number): void {
+function sendRefusal(connection: FrameConnection, channelId: number): void {
   const payload = encodeHopResponse(
     {
       outcome: 'refused',
--- a/src/connection/hop_peer.ts
+++ b/src/connection/hop_peer.ts
@@ -1,6 +1,6 @@
 /**
- * One other node: the connections to it, the choice among them, and the way of
- * a request from a lost connection to the next.
+ * Connections to one other node: selects a connection for each request and
+ * resumes requests whose connection was lost.
  */
 import type {ReplyTimeout} from '../process/membership/reply_timeout.js';
 import {createReplyTimeout} from '../process/membership/reply_timeout.js';
@@ -14,237 +14,245 @@
 import type {OutgoingHop} from './outgoing_hop.js';
 import type {MonitoredPeer} from './peer_monitor.js';
 
-/** Another node as requests are sent to it. */
+/** Another node to which requests are sent. */
 export interface HopPeer extends MonitoredPeer {
   send(hop: OutgoingHop): void;
-  /** Sends a question; its first byte is its kind. */
-  sendQuery(question: Buffer): void;
-  /** Closes connections that have not been used for a while. */
+  /** Sends a query; its first byte is its type. */
+  sendQuery(query: Buffer): void;
+  /** Closes connections that have been idle for `MAX_IDLE_MILLIS`. */
   closeIdleConnections(): void;
   dispose(): void;
 }
 
-/** What a peer needs. */
 export interface HopPeerOptions {
   readonly endpoint: Endpoint;
   readonly nowMillis: () => number;
-  readonly replyBound?: ReplyTimeout;
+  readonly replyTimeout?: ReplyTimeout;
   readonly onDataReceived: () => void;
   readonly onLoads: (loads: readonly LoadFields[]) => void;
-  readonly onChanges: (answer: Buffer) => void;
-  /** So many requests went on after their connection was lost. */
+  readonly onChanges: (response: Buffer) => void;
+  /** This many requests were resumed after their connection was lost. */
   readonly onHopsResumed: (hopsCount: number) => void;
 }
 
 /**
- * Connections to one node: a lost packet holds up all that is on its
- * connection, so that a few share the load.
+ * Maximum number of connections to one node: a lost packet delays all requests
+ * on its connection, so a few connections share the load.
  */
-const MAX_LINKS_COUNT = 4;
+const MAX_CONNECTIONS_COUNT = 4;
 
-/** Requests on each connection before another one is opened. */
-const HOPS_PER_LINK_COUNT = 2;
+/** Requests per connection before another connection is opened. */
+const HOPS_PER_CONNECTION_COUNT = 2;
 
 /**
- * Idle time after which a connection is closed: what stands between nodes may
- * forget one that is idle, and a new one costs a round trip.
+ * Idle time after which a connection is closed: network devices between nodes
+ * may drop idle connections, and a new connection costs one round trip.
  */
 const MAX_IDLE_MILLIS = 4000;
 
 /**
- * Fresh connections opened at the same time if it is urgent. One packet in
- * thirty is lost on a bad link, and a lost first packet is sent again only
+ * Connections that are opened in parallel for an urgent probe. One packet in
+ * thirty is lost on a bad link, and a lost first packet is retransmitted only
  * after a second.
  */
-const URGENT_COUNT = 2;
+const URGENT_CONNECTIONS_COUNT = 2;
 
-const NOTHING = (): void => undefined;
+const noop = (): void => undefined;
 
-/** What came of opening a fresh connection. */
-type Fresh = HopConnection | 'refused' | 'silent';
+/** Result of opening a new connection. */
+type FreshConnectionResult = HopConnection | 'refused' | 'silent';
 
 /** Creates a peer without connections. */
 export function createHopPeer(options: HopPeerOptions): HopPeer {
-  const {endpoint, nowMillis, replyBound = createReplyTimeout()} = options;
-  const links = new Set<HopConnection>();
-  const stranded = new Set<OutgoingHop>();
-  let opening: Promise<Fresh> | undefined;
+  const {endpoint, nowMillis, replyTimeout = createReplyTimeout()} = options;
+  const connections = new Set<HopConnection>();
+  const detachedHops = new Set<OutgoingHop>();
+  let pendingConnection: Promise<FreshConnectionResult> | undefined;
 
-  const open = (
+  const openConnection = (
     onReady: () => void,
-    onFailed: (how: HopConnectionCloseReason) => void,
+    onFailed: (reason: HopConnectionCloseReason) => void,
   ): HopConnection => {
-    const link = openHopConnection({
+    const connection = openHopConnection({
       peer: endpoint,
       nowMillis,
       onReady,
       onDataReceived: options.onDataReceived,
       onLoads: options.onLoads,
       onChanges: options.onChanges,
-      onClosed: (how, hops) => {
-        links.delete(link);
-        onFailed(how);
-        continueAfter(how, hops);
+      onClosed: (reason, hops) => {
+        connections.delete(connection);
+        onFailed(reason);
+        handleClosed(reason, hops);
       },
     });
-    return link;
+    return connection;
   };
-  const openForHops = (): HopConnection => {
-    const link = open(NOTHING, NOTHING);
-    links.add(link);
-    return link;
+  const addConnection = (): HopConnection => {
+    const connection = openConnection(noop, noop);
+    connections.add(connection);
+    return connection;
   };
-  const continueAfter = (
-    how: HopConnectionCloseReason,
+  const handleClosed = (
+    reason: HopConnectionCloseReason,
     hops: readonly OutgoingHop[],
   ): void => {
     if (hops.length === 0) return;
-    if (how === 'closed') {
-      void goOn(hops);
+    if (reason === 'closed') {
+      void resumeHops(hops);
       return;
     }
     for (const hop of hops) hop.fail('unreachable');
   };
 
-  /** Goes on with requests on a fresh connection to the same process. */
-  const goOn = async (hops: readonly OutgoingHop[]): Promise<void> => {
-    for (const hop of hops) stranded.add(hop);
-    const fresh = await openFresh(true);
+  /** Resumes requests on a new connection to the same process. */
+  const resumeHops = async (hops: readonly OutgoingHop[]): Promise<void> => {
+    for (const hop of hops) detachedHops.add(hop);
+    const result = await openFreshConnection(true);
     for (const hop of hops) {
-      if (!stranded.has(hop)) continue;
-      if (!hop.isOpen) stranded.delete(hop);
-      else if (fresh === 'refused') settle(hop);
-      else if (fresh !== 'silent') claim(fresh, hop);
+      if (!detachedHops.has(hop)) continue;
+      if (!hop.isOpen) detachedHops.delete(hop);
+      else if (result === 'refused') failHop(hop);
+      else if (result !== 'silent') claimHop(result, hop);
     }
-    if (typeof fresh !== 'string') options.onHopsResumed(hops.length);
+    if (typeof result !== 'string') options.onHopsResumed(hops.length);
   };
-  /** The process that had it has ended, so the outcome is unknown. */
-  const settle = (hop: OutgoingHop): void => {
-    stranded.delete(hop);
+  /** The process that received the hop has ended, so its outcome is unknown. */
+  const failHop = (hop: OutgoingHop): void => {
+    detachedHops.delete(hop);
     hop.fail('connection-lost');
   };
-  const claim = (fresh: HopConnection, hop: OutgoingHop): void => {
-    if (hop.instanceId === fresh.instanceId) {
-      stranded.delete(hop);
-      fresh.claim(hop);
+  const claimHop = (connection: HopConnection, hop: OutgoingHop): void => {
+    if (hop.instanceId === connection.instanceId) {
+      detachedHops.delete(hop);
+      connection.claim(hop);
       return;
     }
-    settle(hop);
+    failHop(hop);
   };
 
-  /** Those that ask at the same time share the connection. */
-  const openFresh = (isUrgent: boolean): Promise<Fresh> => {
-    opening ??= openFirst(isUrgent ? URGENT_COUNT : 1).finally(() => {
-      opening = undefined;
+  /** Concurrent callers share one attempt. */
+  const openFreshConnection = (
+    isUrgent: boolean,
+  ): Promise<FreshConnectionResult> => {
+    pendingConnection ??= raceConnections(
+      isUrgent ? URGENT_CONNECTIONS_COUNT : 1,
+    ).finally(() => {
+      pendingConnection = undefined;
     });
-    return opening;
+    return pendingConnection;
   };
-  const openFirst = (count: number): Promise<Fresh> =>
+  const raceConnections = (count: number): Promise<FreshConnectionResult> =>
     new Promise(resolve => {
-      const trials = new Set<HopConnection>();
-      const askedMillis = nowMillis();
-      let isSettled = false;
-      const finish = (how: Fresh): void => {
-        if (isSettled) return;
-        isSettled = true;
+      const candidates = new Set<HopConnection>();
+      const startedMillis = nowMillis();
+      let isFinished = false;
+      const finish = (result: FreshConnectionResult): void => {
+        if (isFinished) return;
+        isFinished = true;
         clearTimeout(timer);
-        for (const trial of trials) {
-          if (trial !== how) trial.closeAndTakeHops();
+        for (const candidate of candidates) {
+          if (candidate !== result) candidate.closeAndTakeHops();
         }
-        if (typeof how !== 'string') links.add(how);
-        resolve(how);
+        if (typeof result !== 'string') connections.add(result);
+        resolve(result);
       };
       const timer = setTimeout(() => {
         finish('silent');
-      }, replyBound.currentMillis());
+      }, replyTimeout.currentMillis());
       for (let index = 0; index < count; index += 1) {
-        const trial = open(
+        const candidate = openConnection(
           () => {
-            if (!isSettled) replyBound.observe(nowMillis() - askedMillis);
-            finish(trial);
+            if (!isFinished) replyTimeout.observe(nowMillis() - startedMillis);
+            finish(candidate);
           },
-          how => {
-            trials.delete(trial);
-            if (trials.size > 0) return;
-            finish(how === 'refused' ? 'refused' : 'silent');
+          reason => {
+            candidates.delete(candidate);
+            if (candidates.size > 0) return;
+            finish(reason === 'refused' ? 'refused' : 'silent');
           },
         );
-        trials.add(trial);
+        candidates.add(candidate);
       }
     });
 
-  const chooseLink = (): HopConnection => {
+  const chooseConnection = (): HopConnection => {
     let best: HopConnection | undefined;
-    for (const link of links) {
-      if (link.isGoingAway) continue;
-      if (best === undefined || isBetter(link, best)) best = link;
+    for (const connection of connections) {
+      if (connection.isGoingAway) continue;
+      if (best === undefined || isBetter(connection, best)) best = connection;
     }
-    if (best === undefined) return openForHops();
-    const isBusy = best.openCount >= HOPS_PER_LINK_COUNT;
-    if (isBusy && links.size < MAX_LINKS_COUNT) openForHops();
+    if (best === undefined) return addConnection();
+    const isBusy = best.openCount >= HOPS_PER_CONNECTION_COUNT;
+    if (isBusy && connections.size < MAX_CONNECTIONS_COUNT) addConnection();
     return best;
   };
 
   return {
     endpoint,
-    connections: () => [...links],
+    connections: () => [...connections],
     get detachedHopsCount() {
-      return stranded.size;
+      return detachedHops.size;
     },
     send: hop => {
-      chooseLink().send(hop);
+      chooseConnection().send(hop);
     },
-    sendQuery: question => {
-      chooseLink().sendQuery(question);
+    sendQuery: query => {
+      chooseConnection().sendQuery(query);
     },
     probe: async isUrgent => {
-      const fresh = await openFresh(isUrgent);
-      return typeof fresh !== 'string';
+      const result = await openFreshConnection(isUrgent);
+      return typeof result !== 'string';
     },
     replaceSilentConnections: sinceMillis => {
-      const hops: OutgoingHop[] = [...stranded];
-      for (const link of [...links]) {
-        if (link.waitingSinceMillis === undefined) continue;
-        if (link.lastReceivedMillis >= sinceMillis) continue;
-        if (link.waitingSinceMillis >= sinceMillis) continue;
-        links.delete(link);
-        hops.push(...link.closeAndTakeHops());
+      const hops: OutgoingHop[] = [...detachedHops];
+      for (const connection of [...connections]) {
+        if (connection.waitingSinceMillis === undefined) continue;
+        if (connection.lastReceivedMillis >= sinceMillis) continue;
+        if (connection.waitingSinceMillis >= sinceMillis) continue;
+        connections.delete(connection);
+        hops.push(...connection.closeAndTakeHops());
       }
-      if (hops.length > 0) void goOn(hops);
+      if (hops.length > 0) void resumeHops(hops);
     },
     failResendableHops: () => {
-      const open = [...stranded];
-      for (const link of links) open.push(...link.hops());
-      const expendable = open.filter(hop => hop.isResendable);
-      for (const hop of expendable) {
-        stranded.delete(hop);
+      const openHops = [...detachedHops];
+      for (const connection of connections) openHops.push(...connection.hops());
+      const resendable = openHops.filter(hop => hop.isResendable);
+      for (const hop of resendable) {
+        detachedHops.delete(hop);
         hop.fail('silent');
       }
-      return expendable.length;
+      return resendable.length;
     },
     closeIdleConnections: () => {
       const sinceMillis = nowMillis() - MAX_IDLE_MILLIS;
-      for (const hop of stranded) {
-        if (!hop.isOpen) stranded.delete(hop);
+      for (const hop of detachedHops) {
+        if (!hop.isOpen) detachedHops.delete(hop);
       }
-      for (const link of [...links]) {
-        if (link.openCount > 0 || link.lastUsedMillis > sinceMillis) continue;
-        links.delete(link);
-        link.closeAndTakeHops();
+      for (const connection of [...connections]) {
+        if (connection.openCount > 0 || connection.lastUsedMillis > sinceMillis)
+          continue;
+        connections.delete(connection);
+        connection.closeAndTakeHops();
       }
     },
     dispose: () => {
-      for (const link of [...links]) link.closeAndTakeHops();
-      links.clear();
+      for (const connection of [...connections]) connection.closeAndTakeHops();
+      connections.clear();
     },
   };
 }
 
-/** Ready ones first, then those with fewer requests, then the last used. */
-function isBetter(link: HopConnection, best: HopConnection): boolean {
-  const isReady = link.instanceId !== undefined;
+/**
+ * Prefers ready connections, then those with fewer requests, then the most
+ * recently used one.
+ */
+function isBetter(connection: HopConnection, best: HopConnection): boolean {
+  const isReady = connection.instanceId !== undefined;
   const isBestReady = best.instanceId !== undefined;
   if (isReady !== isBestReady) return isReady;
-  if (link.openCount !== best.openCount) return link.openCount < best.openCount;
-  return link.lastUsedMillis > best.lastUsedMillis;
+  if (connection.openCount !== best.openCount)
+    return connection.openCount < best.openCount;
+  return connection.lastUsedMillis > best.lastUsedMillis;
 }
--- a/src/connection/http_listener.ts
+++ b/src/connection/http_listener.ts
@@ -1,5 +1,5 @@
 /**
- * A listener that cancels each request when its client has left.
+ * HTTP listener that cancels a request when its client disconnects.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
@@ -9,78 +9,83 @@
 import type {Endpoint} from '../process/settings/node_settings.js';
 import {bindListener, acceptPendingConnections} from './bind_listener.js';
 
-/** One request with the response that answers it. */
+/** One request and its response. */
 export interface HttpExchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  /** Cancelled when the connection closes before the answer has ended. */
+  /** Cancelled when the connection closes before the response has been sent. */
   readonly cancel: CancelSignal;
-  /** The sender holds the body back until it is asked for. */
+  /** The client sent `Expect: 100-continue` and withholds the body. */
   readonly expectsContinue: boolean;
-  /** Nothing behind it has been read on its connection, whose end loses nothing. */
+  /**
+   * No later request has been read on the connection, so closing it loses none.
+   */
   isNewestOnConnection(): boolean;
-  /** Its answer ends the connection: what comes behind it is not handled. */
+  /**
+   * The response closes the connection: later requests on it are not handled.
+   */
   ignoreFurtherRequests(): void;
 }
 
-/** One connection of a client. */
+/** Connection of a client. */
 interface ClientConnection {
-  /** Requests without an answer. */
+  /** Cancel sources of requests without a response. */
   readonly sources: Set<CancelSource>;
-  /** Answer to the request that was read last. */
-  newest: ServerResponse | undefined;
+  /** Response to the request that was read last. */
+  newestResponse: ServerResponse | undefined;
   isEnding: boolean;
 }
 
-/** What a listener is made of. */
 export interface HttpListenerOptions {
   readonly endpoint: Endpoint;
-  /** Answers one request; must not reject. */
+  /** Handles one request; must not reject. */
   readonly handle: (exchange: HttpExchange) => Promise<void>;
 }
 
 /** An open listener. */
 export interface HttpListener {
   readonly port: number;
-  /** Requests that were read and not yet answered. */
+  /** Requests that were read and have no response yet. */
   readonly busyCount: number;
-  /** How long idle connections stay open, and how slow headers may be. */
+  /** Sets the keep-alive timeout and the timeout for receiving headers. */
   setTimeouts(idleMillis: number, headerMillis: number): void;
-  /** Accepts nothing more; resolves when the last connection has ended. */
+  /** Stops accepting connections; resolves when the last one has closed. */
   close(): Promise<void>;
-  /** The process ends: resets each connection with an answer under way. */
+  /**
+   * Resets all connections with an unfinished response; called on process exit.
+   */
   resetUnfinished(): void;
 }
 
 /**
- * Idle time of connections until operators' limits are known, and for
- * connections between nodes, whose clients close them far sooner.
+ * Keep-alive timeout until the configured limits are known, and for connections
+ * between nodes, whose clients close them far sooner.
  */
-const IDLE_MILLIS = 30_000;
-const HEADER_MILLIS = 10_000;
+const DEFAULT_IDLE_MILLIS = 30_000;
+const DEFAULT_HEADER_MILLIS = 10_000;
 
-/** Bound on the header of one message; the parser needs one from the start. */
-const HEADER_BYTES = 65_536;
+/** Maximum header size of one message; the parser requires it at creation. */
+const MAX_HEADER_BYTES = 65_536;
 
 /** Opens a listener; rejects if the address cannot be bound. */
 export async function openHttpListener(
   options: HttpListenerOptions,
 ): Promise<HttpListener> {
   const server = createServer({
-    keepAliveTimeout: IDLE_MILLIS,
-    headersTimeout: HEADER_MILLIS,
+    keepAliveTimeout: DEFAULT_IDLE_MILLIS,
+    headersTimeout: DEFAULT_HEADER_MILLIS,
     requestTimeout: 0,
-    maxHeaderSize: HEADER_BYTES,
+    maxHeaderSize: MAX_HEADER_BYTES,
     noDelay: true,
   });
   const connections = new Map<Socket, ClientConnection>();
   let busyCount = 0;
 
-  const connectionOf = (socket: Socket): ClientConnection => {
-    const known = connections.get(socket);
-    if (known !== undefined) return known;
+  const getConnection = (socket: Socket): ClientConnection => {
+    const existing = connections.get(socket);
+    if (existing !== undefined) return existing;
     const sources = new Set<CancelSource>();
-    const created = {sources, newest: undefined, isEnding: false};
+    const created = {sources, newestResponse: undefined, isEnding: false};
     connections.set(socket, created);
     socket.once('close', () => {
       connections.delete(socket);
@@ -94,17 +99,17 @@
     response: ServerResponse,
     expectsContinue: boolean,
   ): void => {
-    const connection = connectionOf(request.socket);
+    const connection = getConnection(request.socket);
     if (connection.isEnding) {
-      // No answer can follow the one that ends the connection, so that the
-      // client sends this request again; passed on, it would run for nothing.
+      // No response can follow the one that closes the connection, so the
+      // client sends this request again; handling it here would waste the work.
       request.resume();
       return;
     }
     const {sources} = connection;
     const source = createCancelSource();
     sources.add(source);
-    connection.newest = response;
+    connection.newestResponse = response;
     busyCount += 1;
     let isOpen = true;
     const finish = (): void => {
@@ -115,8 +120,8 @@
     };
     response.once('finish', finish);
     response.once('close', () => {
-      // Comes before the close of the socket, and without 'finish' if the
-      // client has left: its work would otherwise go on to the deadline.
+      // Emitted before the socket closes, and without `finish` if the client
+      // disconnected; the work would otherwise continue until the deadline.
       if (!response.writableFinished) source.cancel();
       finish();
     });
@@ -129,7 +134,7 @@
       response,
       cancel: source.signal,
       expectsContinue,
-      isNewestOnConnection: () => connection.newest === response,
+      isNewestOnConnection: () => connection.newestResponse === response,
       ignoreFurtherRequests: () => {
         connection.isEnding = true;
       },
@@ -161,11 +166,12 @@
         server.closeIdleConnections();
       });
     },
-    // Closed by the end of the process, a connection would end in good order, and
-    // part of an answer without a length would look whole to its client.
+    // When the process exits, the system closes connections normally, and a
+    // partial response without a length would look complete to its client.
     resetUnfinished: () => {
-      for (const [socket, {newest}] of connections) {
-        if (newest?.writableFinished === false) socket.resetAndDestroy();
+      for (const [socket, {newestResponse}] of connections) {
+        if (newestResponse?.writableFinished === false)
+          socket.resetAndDestroy();
       }
     },
   };
--- a/src/connection/incoming_hop.ts
+++ b/src/connection/incoming_hop.ts
@@ -1,6 +1,6 @@
 /**
- * A request of another node while this node has it. Its sender may come back on
- * another connection if the first one is lost.
+ * A request from another node while this node processes it. If the connection
+ * is lost, the sender may resume the request on another connection.
  */
 import type {CancelSignal} from '../base/cancel_signal.js';
 import {createCancelSource} from '../base/cancel_signal.js';
@@ -13,104 +13,111 @@
 import type {BodyRestSender} from './body_rest_sender.js';
 import {startBodyRestSender} from './body_rest_sender.js';
 
-/** Where a request came from, or its sender came back. */
+/** Channel on which a request arrived or its sender resumed it. */
 export interface HopChannel {
   readonly connection: FrameConnection;
   readonly channelId: number;
-  /** Loads of other upstreams have not been sent here for a while. */
+  /**
+   * No loads of other upstreams have been sent on the connection for a while.
+   */
   isLoadReportDue(): boolean;
-  /** Nothing more is sent on the channel. */
+  /** Releases the channel; nothing more is sent on it. */
   close(): void;
 }
 
-/** What came of a request here. */
+/** Result of a request at this node. */
 export interface IncomingHopResult {
   readonly answer: Omit<HopResponse, 'message'>;
-  /** The upstream's answer, if it gave one. */
+  /** Response of the upstream, if there is one. */
   readonly received: ReceivedResponse | undefined;
 }
 
-/** A request as its handler sees it. */
+/** A request, as provided to its handler. */
 export interface IncomingHop {
   readonly request: HopRequest;
-  /** Cancelled when its sender does not want it any more. */
+  /** Cancelled when the sender no longer needs the response. */
   readonly cancel: CancelSignal;
-  /** The whole body, asked for if it was held back; `undefined` if it never comes. */
+  /**
+   * Complete body, requested from the sender if it was deferred; `undefined` if
+   * it will never arrive.
+   */
   fetchBody(): Buffer | undefined | Promise<Buffer | undefined>;
-  /** Loads of other upstreams are to go with the answer. */
+  /** Loads of other upstreams should be included in the response. */
   isLoadReportDue(): boolean;
-  /** Answers; called once. */
+  /** Sends the response; called once. */
   answer(end: IncomingHopResult): void;
 }
 
-/** A request as its listener sees it. */
+/** A request, as managed by its listener. */
 export interface ManagedIncomingHop extends IncomingHop {
-  /** Its sender goes on with it on this channel. */
+  /** The sender resumes the request on this channel. */
   attach(channel: HopChannel): void;
-  /** A connection was lost; ignored if its sender has reconnected. */
+  /** A connection was lost; ignored if the sender has already reconnected. */
   detach(connection: FrameConnection): void;
-  /** Its sender has given it up. */
+  /** Cancels the request; the sender no longer needs it. */
   abandon(): void;
-  receiveBody(piece: Buffer, isLast: boolean): void;
-  /** The receiver of the rest has passed on so many bytes. */
+  receiveBody(chunk: Buffer, isLast: boolean): void;
+  /** The receiver of the remaining body has consumed this many bytes. */
   extendWindow(bytes: number): void;
 }
 
-/** What an arrival needs. */
 export interface IncomingHopOptions {
   readonly request: HopRequest;
   readonly inlineBody: Buffer;
   readonly channel: HopChannel;
   readonly bodyBytes: () => number;
-  /** Answered; so many bytes of the answer are kept. */
+  /**
+   * The response was produced; this many bytes of it are cached for a resend.
+   */
   readonly onAnswered: (keptBytes: number) => void;
-  /** Nothing is left to be sent. */
+  /** Nothing is left to send. */
   readonly onDone: () => void;
 }
 
 /**
- * Time in which a sender comes back after its connection was lost: a few round
- * trips, and less than the half second for which work may outlive its client.
+ * Time in which a sender must reconnect after its connection was lost: a few
+ * round trips, and less than the half second for which work may continue after
+ * its client has left.
  */
-const ORPHAN_MILLIS = 350;
+const RECONNECT_GRACE_MILLIS = 350;
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BODY = Buffer.alloc(0);
 
-/** Creates the record of an arrival. */
+/** Creates the state of a received request. */
 export function createIncomingHop(
   options: IncomingHopOptions,
 ): ManagedIncomingHop {
   const {request} = options;
   const source = createCancelSource();
   let channel: HopChannel | undefined = options.channel;
-  let orphanTimer: NodeJS.Timeout | undefined;
-  let keptAnswer: Buffer | undefined;
-  let sender: BodyRestSender | undefined;
+  let reconnectTimer: NodeJS.Timeout | undefined;
+  let cachedResponse: Buffer | undefined;
+  let bodyRestSender: BodyRestSender | undefined;
   let isAnswered = false;
-  let pieces: Buffer[] = [options.inlineBody];
-  let isBodyWhole = request.bodyForm === 'inline';
-  let isBodyWanted = request.bodyForm === 'follows';
-  let giveBody: (body: Buffer | undefined) => void = () => undefined;
+  let bodyChunks: Buffer[] = [options.inlineBody];
+  let isBodyComplete = request.bodyForm === 'inline';
+  let isBodyRequested = request.bodyForm === 'follows';
+  let resolveBody: (body: Buffer | undefined) => void = () => undefined;
 
-  const wantBody = (): void => {
-    isBodyWanted = true;
+  const requestBody = (): void => {
+    isBodyRequested = true;
     channel?.connection.send(FRAME_KIND.bodyWanted, channel.channelId);
   };
-  const leaveChannel = (): void => {
+  const closeChannel = (): void => {
     channel?.close();
     channel = undefined;
   };
   const abandon = (): void => {
-    clearTimeout(orphanTimer);
+    clearTimeout(reconnectTimer);
     channel = undefined;
-    sender?.stop();
-    giveBody(undefined);
+    bodyRestSender?.stop();
+    resolveBody(undefined);
     source.cancel();
   };
-  const sendAnswer = (payload: Buffer): void => {
+  const sendResponse = (payload: Buffer): void => {
     channel?.connection.send(FRAME_KIND.answer, channel.channelId, payload);
   };
-  const sendRest = (received: ReceivedResponse): void => {
+  const sendBodyRest = (received: ReceivedResponse): void => {
     const {bodyRest} = received;
     if (bodyRest === undefined) return;
     if (channel === undefined) {
@@ -118,12 +125,12 @@
       options.onDone();
       return;
     }
-    sender = startBodyRestSender({
+    bodyRestSender = startBodyRestSender({
       connection: channel.connection,
       channelId: channel.channelId,
       bodyRest,
       onEnd: () => {
-        leaveChannel();
+        closeChannel();
         options.onDone();
       },
     });
@@ -133,81 +140,81 @@
     request,
     cancel: source.signal,
     fetchBody: () => {
-      if (isBodyWhole) return joined(pieces);
+      if (isBodyComplete) return concatChunks(bodyChunks);
       if (source.signal.isCancelled) return undefined;
       return new Promise(resolve => {
-        giveBody = resolve;
-        if (!isBodyWanted) wantBody();
+        resolveBody = resolve;
+        if (!isBodyRequested) requestBody();
       });
     },
     isLoadReportDue: () => channel?.isLoadReportDue() ?? false,
     answer: ({answer, received}) => {
       isAnswered = true;
-      clearTimeout(orphanTimer);
+      clearTimeout(reconnectTimer);
       const payload = encodeHopResponse(
-        {...answer, message: messageOf(received)},
-        received?.bodyStart ?? NOTHING,
+        {...answer, message: toResponseFields(received)},
+        received?.bodyStart ?? EMPTY_BODY,
       );
-      sendAnswer(payload);
+      sendResponse(payload);
       if (received?.bodyRest !== undefined) {
         options.onAnswered(0);
-        sendRest(received);
+        sendBodyRest(received);
         return;
       }
-      leaveChannel();
-      keptAnswer = payload;
+      closeChannel();
+      cachedResponse = payload;
       options.onAnswered(payload.length);
       options.onDone();
     },
     attach: next => {
-      clearTimeout(orphanTimer);
+      clearTimeout(reconnectTimer);
       channel = next;
       if (isAnswered) {
-        if (keptAnswer !== undefined) sendAnswer(keptAnswer);
-        leaveChannel();
+        if (cachedResponse !== undefined) sendResponse(cachedResponse);
+        closeChannel();
         return;
       }
-      if (isBodyWhole || !isBodyWanted) return;
-      // What had come of the body on the lost connection may have a hole.
-      pieces = [];
-      wantBody();
+      if (isBodyComplete || !isBodyRequested) return;
+      // Chunks from the lost connection may be incomplete.
+      bodyChunks = [];
+      requestBody();
     },
     detach: connection => {
       if (channel?.connection !== connection) return;
       channel = undefined;
-      sender?.stop();
+      bodyRestSender?.stop();
       if (isAnswered) return;
-      orphanTimer = setTimeout(abandon, ORPHAN_MILLIS);
+      reconnectTimer = setTimeout(abandon, RECONNECT_GRACE_MILLIS);
     },
     abandon,
-    receiveBody: (piece, isLast) => {
-      if (isBodyWhole) return;
-      pieces.push(piece);
-      if (bytesOf(pieces) > options.bodyBytes()) {
-        giveBody(undefined);
+    receiveBody: (chunk, isLast) => {
+      if (isBodyComplete) return;
+      bodyChunks.push(chunk);
+      if (totalBytes(bodyChunks) > options.bodyBytes()) {
+        resolveBody(undefined);
         return;
       }
       if (!isLast) return;
-      isBodyWhole = true;
-      giveBody(joined(pieces));
+      isBodyComplete = true;
+      resolveBody(concatChunks(bodyChunks));
     },
     extendWindow: bytes => {
-      sender?.extendWindow(bytes);
+      bodyRestSender?.extendWindow(bytes);
     },
   };
 }
 
-function joined(pieces: readonly Buffer[]): Buffer {
-  const [first] = pieces;
-  if (pieces.length === 1 && first !== undefined) return first;
-  return Buffer.concat(pieces);
+function concatChunks(bodyChunks: readonly Buffer[]): Buffer {
+  const [first] = bodyChunks;
+  if (bodyChunks.length === 1 && first !== undefined) return first;
+  return Buffer.concat(bodyChunks);
 }
 
-function bytesOf(pieces: readonly Buffer[]): number {
-  return pieces.reduce((sum, piece) => sum + piece.length, 0);
+function totalBytes(bodyChunks: readonly Buffer[]): number {
+  return bodyChunks.reduce((sum, chunk) => sum + chunk.length, 0);
 }
 
-function messageOf(
+function toResponseFields(
   received: ReceivedResponse | undefined,
 ): HopResponse['message'] {
   if (received === undefined) return undefined;
--- a/src/connection/keep_alive_agent.ts
+++ b/src/connection/keep_alive_agent.ts
@@ -1,45 +1,45 @@
 /**
- * Pools of client connections that are kept open between requests.
+ * HTTP agents with pools of keep-alive connections.
  */
 import http from 'node:http';
 import type {Socket} from 'node:net';
 import type {Endpoint} from '../process/settings/node_settings.js';
 
-/** How long idle connections are kept. */
+/** Limits of an agent's pools. */
 export interface KeepAliveAgentOptions {
   readonly maxIdleMillis: number;
   readonly maxSocketsCount: number;
 }
 
 /**
- * Share of the idle time that the other side announces: a request written as
- * the other side closes an idle connection is lost, and nobody can tell
- * whether it ran.
+ * Share of the server's announced idle timeout after which a connection is
+ * closed: a request written while the server closes an idle connection is lost,
+ * and it is unknown whether it ran.
  */
-const ANNOUNCED_RATIO = 0.5;
+const ANNOUNCED_TIMEOUT_RATIO = 0.5;
 
 const MILLIS_PER_SECOND = 1000;
 
 /**
- * Closes the idle connections to one address. Where one connection fell silent
- * without a word, those that are idle most likely did as well.
+ * Closes the idle connections to one address. If one connection was dropped
+ * silently, the idle ones most likely were as well.
  */
 export function closeIdleConnections(agent: http.Agent, to: Endpoint): void {
   const name = agent.getName({host: to.address, port: to.port});
   for (const socket of agent.freeSockets[name] ?? []) socket.destroy();
 }
 
-/** Node.js keeps the request that a connection last served here. */
+/** Node.js stores the last request of a connection in this field. */
 type PooledSocket = Socket & {readonly _httpMessage?: LastMessage};
 
-/** Creates a pool; the most recently used connection is used first. */
+/** Creates an agent that reuses the most recently used connection first. */
 export function createKeepAliveAgent(
   options: KeepAliveAgentOptions,
 ): http.Agent {
   return new (class extends http.Agent {
     /**
-     * Name of a pool. The library's own builds a longer one from options that
-     * are never set here, for each request.
+     * Key of a pool. For each request, the default implementation builds a
+     * longer one from options that are never set here.
      */
     override getName(options: http.ClientRequestArgs): string {
       return `${options.host ?? ''}:${String(options.port ?? '')}`;
@@ -50,12 +50,12 @@
       if (announced === 0) return false;
       socket.unref();
       socket.setTimeout(Math.min(options.maxIdleMillis, announced));
-      // A faulty server may send more after a complete answer. On a connection
-      // that is used again those bytes would be taken for the next answer.
+      // A faulty server may send data after a complete response. On a reused
+      // connection these bytes would be parsed as the next response.
       socket.on('data', destroyOnData);
       return true;
     }
-    /** Called by Node.js when an idle connection is used again. */
+    /** Called by Node.js when an idle connection is reused. */
     override reuseSocket(
       socket: PooledSocket,
       request: http.ClientRequest,
@@ -83,5 +83,5 @@
   const header = socket._httpMessage?.res?.headers['keep-alive'];
   const match = /timeout=(\d+)/.exec(String(header));
   if (match === null) return Infinity;
-  return Number(match[1]) * MILLIS_PER_SECOND * ANNOUNCED_RATIO;
+  return Number(match[1]) * MILLIS_PER_SECOND * ANNOUNCED_TIMEOUT_RATIO;
 }
--- a/src/connection/operator_listener.ts
+++ b/src/connection/operator_listener.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP/1.1 listener for operators; it reads and never changes anything.
+ * Read-only HTTP/1.1 listener for operators.
  */
 import {createHash} from 'node:crypto';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
@@ -7,10 +7,10 @@
 import {describeError} from '../base/errors.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
 
-/** What the listener shows. */
+/** Data that the listener serves. */
 export interface OperatorView {
   readonly nodeName: string;
-  /** What is still missing until the node can serve; empty if nothing is. */
+  /** What the node still waits for before it can serve; empty if ready. */
   waitingFor(): readonly string[];
   /** Metrics in the Prometheus text format. */
   metricsText(): Promise<string>;
@@ -20,22 +20,22 @@
   configuration(): PublishedConfiguration | undefined;
 }
 
-/** A configuration as shown. */
+/** A published configuration. */
 export interface PublishedConfiguration {
   readonly version: number;
   readonly document: string;
 }
 
-/** Header of the version of a configuration that is shown. */
+/** Response header with the version of the configuration. */
 export const CONFIGURATION_VERSION_HEADER =
   'fulmarhollow-configuration-version';
 
 const STATE_SECTION_PREFIX = '/state/';
-const PATHS =
+const AVAILABLE_PATHS =
   '/health, /ready, /state, /state/SECTION, /metrics, /configuration';
 
-/** Open connections of operators and their tools. */
-const CONNECTIONS_COUNT = 64;
+/** Maximum number of open connections of operators and their tools. */
+const MAX_CONNECTIONS_COUNT = 64;
 
 /** Opens the listener; rejects if the address is not available. */
 export async function openOperatorListener(
@@ -43,11 +43,11 @@
   view: OperatorView,
 ): Promise<Server> {
   const server = createServer((request, response) => {
-    answer(view, request, response).catch((error: unknown) => {
+    handleRequest(view, request, response).catch((error: unknown) => {
       sendError(response, view, 500, describeError(error));
     });
   });
-  server.maxConnections = CONNECTIONS_COUNT;
+  server.maxConnections = MAX_CONNECTIONS_COUNT;
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
     server.listen(endpoint.port, endpoint.address, resolve);
@@ -55,7 +55,7 @@
   return server;
 }
 
-async function answer(
+async function handleRequest(
   view: OperatorView,
   request: IncomingMessage,
   response: ServerResponse,
@@ -94,20 +94,22 @@
   sendJson(response, isReady ? 200 : 503, {ready: isReady, reasons});
 }
 
-/** The document byte for byte, so that its digest can be compared. */
+/** Sends the document unmodified, so that clients can compare its digest. */
 function sendConfiguration(response: ServerResponse, view: OperatorView): void {
-  const shown = view.configuration();
-  if (shown === undefined) {
+  const configuration = view.configuration();
+  if (configuration === undefined) {
     sendError(response, view, 503, 'No configuration is in force yet.');
     return;
   }
-  const digest = createHash('sha256').update(shown.document).digest('hex');
+  const digest = createHash('sha256')
+    .update(configuration.document)
+    .digest('hex');
   response.writeHead(200, {
     'content-type': 'application/json',
     etag: `"${digest}"`,
-    [CONFIGURATION_VERSION_HEADER]: String(shown.version),
+    [CONFIGURATION_VERSION_HEADER]: String(configuration.version),
   });
-  response.end(shown.document);
+  response.end(configuration.document);
 }
 
 function sendSection(
@@ -116,7 +118,12 @@
   path: string,
 ): void {
   if (!path.startsWith(STATE_SECTION_PREFIX)) {
-    sendError(response, view, 404, `No such path; there are ${PATHS}.`);
+    sendError(
+      response,
+      view,
+      404,
+      `No such path; there are ${AVAILABLE_PATHS}.`,
+    );
     return;
   }
   const sections = view.state();
--- a/src/connection/outgoing_hop.ts
+++ b/src/connection/outgoing_hop.ts
@@ -1,5 +1,5 @@
 /**
- * A request on its way to another node, wherever its connection is.
+ * A request to another node, independent of the connection that carries it.
  */
 import {randomBytes} from 'node:crypto';
 import type {HopResponse, HopRequest} from '../protocol/hop_messages.js';
@@ -11,87 +11,93 @@
   | {
       readonly kind: 'answer';
       readonly answer: HopResponse;
-      /** The upstream's answer, if it gave one. */
+      /** Response of the upstream, if there is one. */
       readonly received: ReceivedResponse | undefined;
     }
-  /** The other node has not received all of it and never will. */
+  /** The other node has not received the complete request and never will. */
   | {readonly kind: 'not-run'; readonly reason: HopFailureReason}
   /** It may have run. */
   | {readonly kind: 'lost'; readonly reason: HopFailureReason};
 
-/** Why a hop ended without an answer. */
+/** Why a hop ended without a response. */
 export type HopFailureReason =
   'cancelled' | 'unreachable' | 'silent' | 'connection-lost' | 'broken-answer';
 
-/** A hop as connections see it. */
+/** A hop, as used by connections. */
 export interface OutgoingHop {
   readonly hopId: string;
   readonly startedMillis: number;
-  /** Payload of the frame that opens it. */
+  /** Payload of the request frame. */
   readonly request: Buffer;
   readonly body: Buffer;
-  /** The body follows only when it is asked for. */
+  /** The body is sent only when the receiver requests it. */
   readonly isBodyHeldBack: boolean;
-  /** It has not ended. */
+  /** The hop has not ended. */
   readonly isOpen: boolean;
-  /** Sent elsewhere as well it could do no harm. */
+  /** Sending the request to another node as well would do no harm. */
   readonly isResendable: boolean;
-  /** All of it is on its way: from here on it may run. */
+  /** The request has been sent completely: from now on it may run. */
   markSent(): void;
-  /** Process that it was sent to; only this one knows what became of it. */
+  /**
+   * Instance id of the process that it was sent to; only that process can
+   * report whether it ran.
+   */
   instanceId: string | undefined;
-  /** Takes it off its connection; set by the connection that it is on. */
+  /** Removes the hop from its connection; set by that connection. */
   detach: () => void;
-  /** Ends with an answer. */
-  complete(answer: HopResponse, received: ReceivedResponse | undefined): void;
+  /** Ends with a response. */
+  complete(response: HopResponse, received: ReceivedResponse | undefined): void;
   /** Ends as not run. */
   failNotRun(reason: HopFailureReason): void;
-  /** Ends without an answer: as not run if not all of it was sent. */
+  /** Ends without a response; as not run if it was not sent completely. */
   fail(reason: HopFailureReason): void;
 }
 
-/** What a hop is made of. */
 export interface OutgoingHopOptions {
   readonly request: Omit<HopRequest, 'hopId' | 'bodyForm'>;
   readonly body: Buffer;
   readonly startedMillis: number;
-  readonly onEnd: (end: HopResult) => void;
+  readonly onEnd: (finish: HopResult) => void;
 }
 
-/** Plain fields: an accessor in a literal makes each hop costly to create. */
-interface OwnHop extends OutgoingHop {
+/**
+ * Plain fields: accessors in an object literal make each hop costly to create.
+ */
+interface MutableOutgoingHop extends OutgoingHop {
   isOpen: boolean;
   isResendable: boolean;
 }
 
-/** Bodies up to this size go along with the request; most fit in a packet. */
-const INLINE_BYTES = 65_536;
+/**
+ * Bodies up to this size are sent in the request frame; most fit in one packet.
+ */
+const MAX_INLINE_BODY_BYTES = 65_536;
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BODY = Buffer.alloc(0);
 
-/** Creates a hop that is on no connection yet. */
+/** Creates a hop that is not on a connection yet. */
 export function createOutgoingHop(options: OutgoingHopOptions): OutgoingHop {
   const {request, body} = options;
   const {isRepeatable} = request;
-  const hopId = newHopId();
-  const isInline = isRepeatable && body.length <= INLINE_BYTES;
+  const hopId = createHopId();
+  const isInline = isRepeatable && body.length <= MAX_INLINE_BODY_BYTES;
   const bodyForm = isInline ? 'inline' : isRepeatable ? 'follows' : 'held-back';
   let isSent = false;
 
-  const end = (how: HopResult): void => {
+  const finish = (result: HopResult): void => {
     if (!hop.isOpen) return;
     hop.isOpen = false;
     hop.detach();
-    options.onEnd(how);
+    options.onEnd(result);
   };
-  const hop: OwnHop = {
+  const hop: MutableOutgoingHop = {
     hopId,
     startedMillis: options.startedMillis,
     request: encodeHopRequest(
       {...request, hopId, bodyForm},
-      isInline ? body : NOTHING,
+      isInline ? body : EMPTY_BODY,
     ),
-    body: isInline ? NOTHING : body,
+    body: isInline ? EMPTY_BODY : body,
     isBodyHeldBack: bodyForm === 'held-back',
     isOpen: true,
     isResendable: true,
@@ -102,25 +108,25 @@
     instanceId: undefined,
     detach: () => undefined,
     complete: (answer, received) => {
-      end({kind: 'answer', answer, received});
+      finish({kind: 'answer', answer, received});
     },
     failNotRun: reason => {
-      end({kind: 'not-run', reason});
+      finish({kind: 'not-run', reason});
     },
     fail: reason => {
-      end({kind: isSent ? 'lost' : 'not-run', reason});
+      finish({kind: isSent ? 'lost' : 'not-run', reason});
     },
   };
   return hop;
 }
 
-/** Random bytes that distinguish the hops of this process from all others. */
-const PREFIX_BYTES = 8;
-const HOP_ID_PREFIX = randomBytes(PREFIX_BYTES).toString('hex');
+/** Random prefix that distinguishes hops of this process from all others. */
+const HOP_ID_PREFIX_BYTES = 8;
+const HOP_ID_PREFIX = randomBytes(HOP_ID_PREFIX_BYTES).toString('hex');
 
 let hopsCount = 0;
 
-function newHopId(): string {
+function createHopId(): string {
   hopsCount += 1;
   return `${HOP_ID_PREFIX}${hopsCount.toString(36)}`;
 }
--- a/src/connection/peer_monitor.ts
+++ b/src/connection/peer_monitor.ts
@@ -1,12 +1,13 @@
 /**
- * Watches over the connections to other nodes.
+ * Monitors the connections to other nodes.
  *
- * A node behind a network partition, a frozen one, and a connection that went
- * silent all look like a slow upstream: nothing comes. Without a question of
- * its own the sender would wait until the deadline and send the next request
- * the same way. So it asks for a sign of life on the connection, then opens a
- * fresh one, and goes on there with what was on the silent one; if the node
- * does not reply there either, what may be sent elsewhere is given up.
+ * A node behind a network partition, a frozen node and a silently dropped
+ * connection all look like a slow upstream: no data arrives. Without a check of
+ * its own, the sender would wait until the deadline and send the next request
+ * the same way. The monitor therefore pings a silent connection, then opens a
+ * new one and resumes the requests of the silent connection there. If the node
+ * does not reply on the new connection either, requests that may be resent to
+ * other nodes are failed.
  */
 import type {Disposable} from '../base/lifecycle.js';
 import {createIntervalTimer} from '../base/lifecycle.js';
@@ -14,112 +15,111 @@
 import {createReplyTimeout} from '../process/membership/reply_timeout.js';
 import type {Endpoint} from '../process/settings/node_settings.js';
 
-/** A connection as the watch sees it. */
+/** A connection, as used by the monitor. */
 export interface MonitoredConnection {
   readonly lastReceivedMillis: number;
-  /** When the oldest request on it was sent; `undefined` if there is none. */
+  /** When the oldest open request was sent; `undefined` if there is none. */
   readonly waitingSinceMillis: number | undefined;
-  /** Asks for a sign of life. */
   ping(): void;
 }
 
-/** A node with its connections. */
+/** A node and its connections. */
 export interface MonitoredPeer {
   readonly endpoint: Endpoint;
   connections(): readonly MonitoredConnection[];
-  /** Requests whose connection is lost while the node does not reply. */
+  /** Requests whose connection was lost while the node does not reply. */
   readonly detachedHopsCount: number;
   /**
-   * Opens a fresh connection and returns whether the node replied on it. Urgent
-   * questions must not fail because of one lost packet.
+   * Opens a new connection and returns whether the node replied on it. An
+   * urgent probe must not fail because of a single lost packet.
    */
   probe(isUrgent: boolean): Promise<boolean>;
   /**
-   * The node replied: goes on elsewhere with the requests of connections that
-   * have been silent since before, and with those stranded.
+   * The node replied: resumes requests of connections that have been silent
+   * since then, and requests without a connection, on other connections.
    */
   replaceSilentConnections(sinceMillis: number): void;
-  /** Gives up what may be sent elsewhere; returns how many. */
+  /** Fails requests that may be resent to other nodes; returns their number. */
   failResendableHops(): number;
 }
 
-/** Watches over nodes. */
+/** Monitors nodes. */
 export interface PeerMonitor extends Disposable {
   add(peer: MonitoredPeer): PeerLiveness;
 }
 
-/** What is known of the life of one node. */
+/** Liveness of one node. */
 export interface PeerLiveness {
-  /** It did not reply when it was asked last. */
+  /** The node did not reply to the last probe. */
   readonly isLost: boolean;
-  /** Something arrived from it. */
+  /** Data arrived from the node. */
   recordActivity(): void;
 }
 
-/** What a watch needs. */
 export interface PeerMonitorOptions {
   readonly nowMillis: () => number;
-  readonly replyBound?: ReplyTimeout;
+  readonly replyTimeout?: ReplyTimeout;
   readonly onPeerLost: (endpoint: Endpoint, hopsCount: number) => void;
   readonly onPeerFound: (endpoint: Endpoint) => void;
 }
 
-const TICK_MILLIS = 100;
+const CHECK_INTERVAL_MILLIS = 100;
 
-/** Silence after which a sign of life is asked for; it costs one small frame. */
+/** Silence after which a connection is pinged; a ping costs one small frame. */
 const PING_MILLIS = 150;
 
-/** Interval at which a node that did not reply is asked again. */
-const LOST_ASK_MILLIS = 500;
+/** Interval between probes of a node that did not reply. */
+const LOST_PROBE_MILLIS = 500;
 
-/** Other nodes that are asked before one is taken for lost. */
-const WITNESSES_COUNT = 3;
+/** Other nodes that are probed before a node is marked as lost. */
+const REFERENCE_PEERS_COUNT = 3;
 
 interface PeerState {
   readonly peer: MonitoredPeer;
   readonly pingedMillis: WeakMap<MonitoredConnection, number>;
-  /** The last question on a connection that was replied to. */
+  /** Time of the last ping on a connection that was replied to. */
   readonly repliedMillis: WeakMap<MonitoredConnection, number>;
-  heardMillis: number;
-  askedMillis: number;
-  isAsking: boolean;
+  lastReceivedMillis: number;
+  probedMillis: number;
+  isProbing: boolean;
   isLost: boolean;
-  /** Its last silence was put down to this node. */
-  wasExcused: boolean;
+  /** The last silence was attributed to this process. */
+  wasLocalFault: boolean;
 }
 
-/** Creates a watch without nodes. */
+/** Creates a monitor without nodes. */
 export function createPeerMonitor(options: PeerMonitorOptions): PeerMonitor {
   const states = new Set<PeerState>();
-  const {nowMillis, replyBound = createReplyTimeout()} = options;
+  const {nowMillis, replyTimeout = createReplyTimeout()} = options;
 
-  const check = async (state: PeerState): Promise<void> => {
+  const probePeer = async (state: PeerState): Promise<void> => {
     const {peer} = state;
-    state.isAsking = true;
-    state.askedMillis = nowMillis();
-    const askedMillis = state.askedMillis;
+    state.isProbing = true;
+    state.probedMillis = nowMillis();
+    const probedMillis = state.probedMillis;
     const hasReplied = await peer.probe(true);
-    const isSilent = !hasReplied && state.heardMillis < askedMillis;
-    const isExcused =
-      isSilent && !state.wasExcused && (await isOwnFault(state));
-    state.wasExcused = isExcused;
-    state.isAsking = false;
-    if (isSilent && !isExcused) losePeer(state);
+    const isSilent = !hasReplied && state.lastReceivedMillis < probedMillis;
+    const hasLocalFault =
+      isSilent && !state.wasLocalFault && (await isLocalFault(state));
+    state.wasLocalFault = hasLocalFault;
+    state.isProbing = false;
+    if (isSilent && !hasLocalFault) markLost(state);
     if (!hasReplied) return;
-    hear(state);
-    peer.replaceSilentConnections(askedMillis - PING_MILLIS);
+    recordReceived(state);
+    peer.replaceSilentConnections(probedMillis - PING_MILLIS);
   };
 
   /**
-   * If the nodes heard last do not reply either, the fault is more likely here:
-   * a process that is slow itself would give up requests that are well. Once
-   * only: a node that is cut off has no others to ask, and its own upstream.
+   * If the most recently active nodes do not reply either, the fault is more
+   * likely local, and a slow process would fail healthy requests. Assumed only
+   * once in a row: a node that is cut off reaches no other node, but can still
+   * use its own upstream.
    */
-  const isOwnFault = async (state: PeerState): Promise<boolean> => {
+  const isLocalFault = async (state: PeerState): Promise<boolean> => {
     const others = [...states]
       .filter(other => other !== state && !other.isLost)
-      .sort((a, b) => b.heardMillis - a.heardMillis)
-      .slice(0, WITNESSES_COUNT);
+      .sort((a, b) => b.lastReceivedMillis - a.lastReceivedMillis)
+      .slice(0, REFERENCE_PEERS_COUNT);
     if (others.length === 0) return false;
     const replies = await Promise.all(
       others.map(other => other.peer.probe(false)),
@@ -127,42 +127,42 @@
     return !replies.includes(true);
   };
 
-  const losePeer = (state: PeerState): void => {
+  const markLost = (state: PeerState): void => {
     const wasLost = state.isLost;
     state.isLost = true;
-    const givenUpCount = state.peer.failResendableHops();
+    const failedCount = state.peer.failResendableHops();
     if (wasLost) return;
-    options.onPeerLost(state.peer.endpoint, givenUpCount);
+    options.onPeerLost(state.peer.endpoint, failedCount);
   };
 
-  const hear = (state: PeerState): void => {
-    state.heardMillis = nowMillis();
+  const recordReceived = (state: PeerState): void => {
+    state.lastReceivedMillis = nowMillis();
     if (!state.isLost) return;
     state.isLost = false;
     options.onPeerFound(state.peer.endpoint);
   };
 
-  /** What was heard first after a question is taken for its reply. */
-  const learnReply = (
+  /** Treats the first data received after a ping as the reply to it. */
+  const observeReply = (
     {pingedMillis, repliedMillis}: PeerState,
     connection: MonitoredConnection,
   ): void => {
-    const askedMillis = pingedMillis.get(connection);
-    if (askedMillis === undefined) return;
-    if (connection.lastReceivedMillis <= askedMillis) return;
-    if (repliedMillis.get(connection) === askedMillis) return;
-    repliedMillis.set(connection, askedMillis);
-    replyBound.observe(connection.lastReceivedMillis - askedMillis);
+    const lastPingMillis = pingedMillis.get(connection);
+    if (lastPingMillis === undefined) return;
+    if (connection.lastReceivedMillis <= lastPingMillis) return;
+    if (repliedMillis.get(connection) === lastPingMillis) return;
+    repliedMillis.set(connection, lastPingMillis);
+    replyTimeout.observe(connection.lastReceivedMillis - lastPingMillis);
   };
 
-  const isSuspect = (state: PeerState, now: number): boolean => {
+  const checkSilence = (state: PeerState, now: number): boolean => {
     let isSilent = false;
     for (const connection of state.peer.connections()) {
       const {waitingSinceMillis, lastReceivedMillis} = connection;
       if (waitingSinceMillis === undefined) continue;
       const sinceMillis = Math.max(waitingSinceMillis, lastReceivedMillis);
-      learnReply(state, connection);
-      if (now - sinceMillis > replyBound.currentMillis()) isSilent = true;
+      observeReply(state, connection);
+      if (now - sinceMillis > replyTimeout.currentMillis()) isSilent = true;
       if (now - sinceMillis <= PING_MILLIS) continue;
       const pingedMillis = state.pingedMillis.get(connection) ?? 0;
       if (now - pingedMillis <= PING_MILLIS) continue;
@@ -172,17 +172,17 @@
     return isSilent;
   };
 
-  const isDue = (state: PeerState, now: number): boolean => {
-    if (state.isAsking) return false;
-    const isSoon = now - state.askedMillis <= LOST_ASK_MILLIS;
-    if (state.isLost || state.peer.detachedHopsCount > 0) return !isSoon;
-    return isSuspect(state, now);
+  const shouldProbe = (state: PeerState, now: number): boolean => {
+    if (state.isProbing) return false;
+    const isTooSoon = now - state.probedMillis <= LOST_PROBE_MILLIS;
+    if (state.isLost || state.peer.detachedHopsCount > 0) return !isTooSoon;
+    return checkSilence(state, now);
   };
 
-  const timer = createIntervalTimer(TICK_MILLIS, () => {
+  const timer = createIntervalTimer(CHECK_INTERVAL_MILLIS, () => {
     const now = nowMillis();
     for (const state of states) {
-      if (isDue(state, now)) void check(state);
+      if (shouldProbe(state, now)) void probePeer(state);
     }
   });
 
@@ -192,11 +192,11 @@
         peer,
         pingedMillis: new WeakMap(),
         repliedMillis: new WeakMap(),
-        heardMillis: 0,
-        askedMillis: 0,
-        isAsking: false,
+        lastReceivedMillis: 0,
+        probedMillis: 0,
+        isProbing: false,
         isLost: false,
-        wasExcused: false,
+        wasLocalFault: false,
       };
       states.add(state);
       return {
@@ -204,7 +204,7 @@
           return state.isLost;
         },
         recordActivity: () => {
-          hear(state);
+          recordReceived(state);
         },
       };
     },
--- a/src/connection/peer_query_client.ts
+++ b/src/connection/peer_query_client.ts
@@ -1,7 +1,7 @@
 /**
- * Kept connections for questions to other nodes, apart from those that requests
- * are sent on: a connection in use is not closed as idle, and requests on it would
- * wait for a node that a partition has silenced.
+ * Persistent connections for queries to other nodes, separate from those for
+ * requests: queries would prevent the idle timeout of a connection, and
+ * requests sent on it would wait for a node behind a network partition.
  */
 import type {Disposable} from '../base/lifecycle.js';
 import {formatEndpoint} from '../process/settings/format_endpoint.js';
@@ -10,119 +10,122 @@
 import type {FrameConnection} from './frame_connection.js';
 import {openFrameConnection} from './frame_connection.js';
 
-/** Links of one node. */
+/** Sends queries to other nodes. */
 export interface PeerQueryClient extends Disposable {
-  query(peer: Endpoint, question: Buffer): Promise<PeerQueryResult>;
-  /** Closes connections that have not been used for a while. */
+  query(peer: Endpoint, query: Buffer): Promise<PeerQueryResult>;
+  /** Closes connections that have been idle for `MAX_IDLE_MILLIS`. */
   closeIdleConnections(): void;
 }
 
-/** Payload of the answer, or why there is none. */
+/** Payload of the response, or why there is none. */
 export type PeerQueryResult =
   | Buffer
-  /** Nothing came. */
+  /** No response arrived in time. */
   | 'silent'
-  /** The connection was refused or closed, or the answer is of another kind. */
+  /**
+   * The connection was refused or closed, or the response has an unexpected
+   * kind.
+   */
   | 'closed';
 
-/** What links need. */
 export interface PeerQueryClientOptions {
-  /** Kind of the frames that answer; any other one is no answer. */
+  /** Frame kind of responses; any other kind is rejected. */
   readonly responseKind: number;
   readonly nowMillis: () => number;
 }
 
-/** Bound on one answer; a node that is reachable answers within milliseconds. */
-const ANSWER_TIMEOUT_MILLIS = 400;
+/** Timeout of a response; a reachable node responds within milliseconds. */
+const RESPONSE_TIMEOUT_MILLIS = 400;
 
 const MAX_IDLE_MILLIS = 4000;
 
-const NOTHING = (): void => undefined;
+const noop = (): void => undefined;
 
-interface Link {
+interface QueryConnection {
   readonly connection: FrameConnection;
-  readonly pending: Map<number, (end: PeerQueryResult) => void>;
+  readonly pending: Map<number, (result: PeerQueryResult) => void>;
   usedMillis: number;
   lastChannelId: number;
 }
 
-/** Creates links without connections. */
+/** Creates a client without connections. */
 export function createPeerQueryClient(
   options: PeerQueryClientOptions,
 ): PeerQueryClient {
   const {nowMillis} = options;
-  const links = new Map<string, Link>();
+  const connections = new Map<string, QueryConnection>();
 
-  const drop = (
+  const finishPending = (
     key: string,
-    link: Link,
-    end: Extract<PeerQueryResult, string>,
+    connection: QueryConnection,
+    result: Extract<PeerQueryResult, string>,
   ): void => {
-    if (links.get(key) === link) links.delete(key);
-    const finishes = [...link.pending.values()];
-    link.pending.clear();
-    for (const finish of finishes) finish(end);
+    if (connections.get(key) === connection) connections.delete(key);
+    const finishes = [...connection.pending.values()];
+    connection.pending.clear();
+    for (const finish of finishes) finish(result);
   };
 
-  const open = (key: string, peer: Endpoint): Link => {
-    const link: Link = {
+  const open = (key: string, peer: Endpoint): QueryConnection => {
+    const connection: QueryConnection = {
       connection: openFrameConnection(peer, {
-        onConnected: NOTHING,
-        onDataReceived: NOTHING,
+        onConnected: noop,
+        onDataReceived: noop,
         onFrame: ({kind, channelId, payload}) => {
           if (kind === FRAME_KIND.goingAway) {
-            link.connection.end();
-            drop(key, link, 'closed');
+            connection.connection.end();
+            finishPending(key, connection, 'closed');
             return;
           }
-          const isAnswer = kind === options.responseKind;
-          link.pending.get(channelId)?.(isAnswer ? payload : 'closed');
+          const isResponse = kind === options.responseKind;
+          connection.pending.get(channelId)?.(isResponse ? payload : 'closed');
         },
         onClosed: () => {
-          drop(key, link, 'closed');
+          finishPending(key, connection, 'closed');
         },
       }),
       pending: new Map(),
       usedMillis: nowMillis(),
       lastChannelId: 0,
     };
-    links.set(key, link);
-    return link;
+    connections.set(key, connection);
+    return connection;
   };
 
   return {
-    query: (peer, question) => {
+    query: (peer, query) => {
       const key = formatEndpoint(peer);
-      const link = links.get(key) ?? open(key, peer);
-      link.usedMillis = nowMillis();
-      link.lastChannelId += 1;
-      const channelId = link.lastChannelId;
+      const connection = connections.get(key) ?? open(key, peer);
+      connection.usedMillis = nowMillis();
+      connection.lastChannelId += 1;
+      const channelId = connection.lastChannelId;
       return new Promise(resolve => {
-        // A connection without an answer may have fallen silent for good.
+        // A connection without a response may have been dropped silently.
         const timer = setTimeout(() => {
-          link.connection.destroy();
-          drop(key, link, 'silent');
-        }, ANSWER_TIMEOUT_MILLIS);
-        link.pending.set(channelId, end => {
+          connection.connection.destroy();
+          finishPending(key, connection, 'silent');
+        }, RESPONSE_TIMEOUT_MILLIS);
+        connection.pending.set(channelId, result => {
           clearTimeout(timer);
-          link.pending.delete(channelId);
-          resolve(end);
+          connection.pending.delete(channelId);
+          resolve(result);
         });
-        link.connection.send(FRAME_KIND.ping, channelId, question);
+        connection.connection.send(FRAME_KIND.ping, channelId, query);
       });
     },
     closeIdleConnections: () => {
       const sinceMillis = nowMillis() - MAX_IDLE_MILLIS;
-      for (const [key, link] of links) {
-        if (link.pending.size > 0 || link.usedMillis > sinceMillis) continue;
-        links.delete(key);
-        link.connection.end();
+      for (const [key, connection] of connections) {
+        if (connection.pending.size > 0 || connection.usedMillis > sinceMillis)
+          continue;
+        connections.delete(key);
+        connection.connection.end();
       }
     },
     dispose: () => {
-      for (const [key, link] of [...links]) {
-        link.connection.destroy();
-        drop(key, link, 'closed');
+      for (const [key, connection] of [...connections]) {
+        connection.connection.destroy();
+        finishPending(key, connection, 'closed');
       }
     },
   };
--- a/src/connection/peer_relay.ts
+++ b/src/connection/peer_relay.ts
@@ -1,6 +1,6 @@
 /**
- * Gets changes of the published documents from the node that watches for this one,
- * and answers nodes that ask this one.
+ * Polls the watching node for changes of the published documents, and responds
+ * to polls of other nodes.
  */
 import type {
   DocumentRelay,
@@ -19,57 +19,59 @@
   encodeRelayQuery,
 } from '../protocol/relay_codec.js';
 
-/** Both sides of one node. */
+/** Client and server side of one node. */
 export interface PeerRelay extends DocumentRelay {
-  /** Answers a question; `undefined` if it is none. */
-  answerQuery(question: Buffer): Buffer | undefined;
+  /** Responds to a query; returns `undefined` for other queries. */
+  answerQuery(query: Buffer): Buffer | undefined;
 }
 
-/** What a relay needs. */
 export interface PeerRelayOptions {
   readonly selection: WatcherSelection;
   readonly documents: DocumentCache;
-  /** Asks the node beside an upstream; `undefined` if it does not answer. */
+  /**
+   * Sends a query to the node of an upstream; `undefined` without a response.
+   */
   readonly send: (
     entry: UpstreamEntry,
-    question: Buffer,
+    query: Buffer,
   ) => Promise<Buffer | undefined>;
-  /** A question has ended. */
-  readonly onPolled?: (entry: UpstreamEntry, end: RelayPollResult) => void;
+  /** A poll has finished. */
+  readonly onPolled?: (entry: UpstreamEntry, result: RelayPollResult) => void;
 }
 
 /**
- * Bound on one answer: what is longer than a frame may be would cut the connection
- * with all requests on it, and a long one holds them up. Who asked reads all.
+ * Maximum response size: a larger one than a frame allows would close the
+ * connection with all its requests, and a long one delays them. The polling
+ * node then reads all documents.
  */
-const MAX_ANSWER_BYTES = 1_000_000;
+const MAX_RESPONSE_BYTES = 1_000_000;
 
-/** Creates the relay of a node that knows nothing. */
+/** Creates the relay of a node without documents. */
 export function createPeerRelay(options: PeerRelayOptions): PeerRelay {
   const {selection, documents} = options;
   let isWatching = false;
   return {
     poll: async (position, isSourceLost) => {
-      const turn = selection.decide(isSourceLost);
-      if (turn.kind === 'watch') return 'watch';
-      const {entry} = turn;
-      const reply = await options.send(entry, encodeRelayQuery(position));
-      const answer =
-        reply === undefined ? undefined : decodeRelayResponse(reply);
-      const end = endOf(position, answer);
-      if (end === 'failed') selection.recordFailure(entry);
+      const decision = selection.decide(isSourceLost);
+      if (decision.kind === 'watch') return 'watch';
+      const {entry} = decision;
+      const payload = await options.send(entry, encodeRelayQuery(position));
+      const response =
+        payload === undefined ? undefined : decodeRelayResponse(payload);
+      const result = toPollResult(position, response);
+      if (result === 'failed') selection.recordFailure(entry);
       else selection.recordSuccess();
-      options.onPolled?.(entry, end);
-      return end;
+      options.onPolled?.(entry, result);
+      return result;
     },
-    answerQuery: question => {
-      const asked = decodeRelayQuery(question);
-      if (asked === undefined) return undefined;
-      const answer = {position: documents.position, isWatching};
-      const changes = documents.changesSince(asked);
-      const whole = encodeRelayResponse({...answer, changes});
-      if (whole.length <= MAX_ANSWER_BYTES) return whole;
-      return encodeRelayResponse({...answer, changes: undefined});
+    answerQuery: query => {
+      const queriedPosition = decodeRelayQuery(query);
+      if (queriedPosition === undefined) return undefined;
+      const response = {position: documents.position, isWatching};
+      const changes = documents.changesSince(queriedPosition);
+      const encoded = encodeRelayResponse({...response, changes});
+      if (encoded.length <= MAX_RESPONSE_BYTES) return encoded;
+      return encodeRelayResponse({...response, changes: undefined});
     },
     setWatching: next => {
       isWatching = next;
@@ -79,11 +81,15 @@
   };
 }
 
-function endOf(asked: SourcePosition, answer?: RelayResponse): RelayPollResult {
-  // Two nodes that polled only each other would never learn of a change.
-  if (answer?.isWatching !== true) return 'failed';
-  const {position, changes} = answer;
+function toPollResult(
+  queriedPosition: SourcePosition,
+  response?: RelayResponse,
+): RelayPollResult {
+  // Two nodes that only polled each other would never receive a change.
+  if (response?.isWatching !== true) return 'failed';
+  const {position, changes} = response;
   if (changes !== undefined) return {documents: changes, position};
-  // Too far behind, or in an earlier epoch; a node that is so itself is no help.
-  return isLaterPosition(position, asked) ? 'read' : 'failed';
+  // The polling node is too far behind or in an earlier epoch; a response from
+  // a node that is itself behind is of no use.
+  return isLaterPosition(position, queriedPosition) ? 'read' : 'failed';
 }
--- a/src/connection/prefix_listener.ts
+++ b/src/connection/prefix_listener.ts
@@ -1,41 +1,44 @@
 /**
- * One listener for documents below several prefixes that a single watch brings.
+ * Combines the listeners of several prefixes that share one watch.
  */
 import type {DocumentChange} from '../process/membership/document_source.js';
 import type {DocumentListener} from './document_listener.js';
 
-/** Creates a listener that passes on to each what lies below its prefix. */
+/**
+ * Creates a listener that passes to each listener the documents below its
+ * prefix.
+ */
 export function createPrefixListener(
   listeners: ReadonlyMap<string, DocumentListener>,
 ): DocumentListener {
-  const below = (
+  const filterByPrefix = (
     documents: readonly DocumentChange[],
     prefix: string,
   ): readonly DocumentChange[] =>
     documents.filter(({key}) => key.startsWith(prefix));
-  const all = [...listeners.values()];
+  const allListeners = [...listeners.values()];
   return {
     onCall: end => {
-      // A call is one call, whoever gains by it.
-      all[0]?.onCall(end);
+      // Reported once, because all listeners share the call.
+      allListeners[0]?.onCall(end);
     },
     onRestored: (before, now) => {
-      for (const listener of all) listener.onRestored(before, now);
+      for (const listener of allListeners) listener.onRestored(before, now);
     },
     onLost: reason => {
-      for (const listener of all) listener.onLost(reason);
+      for (const listener of allListeners) listener.onLost(reason);
     },
     onReached: wasLostMillis => {
-      for (const listener of all) listener.onReached(wasLostMillis);
+      for (const listener of allListeners) listener.onReached(wasLostMillis);
     },
     onSnapshot: (documents, revision) => {
       for (const [prefix, listener] of listeners) {
-        listener.onSnapshot(below(documents, prefix), revision);
+        listener.onSnapshot(filterByPrefix(documents, prefix), revision);
       }
     },
     onChanges: (documents, revision) => {
       for (const [prefix, listener] of listeners) {
-        const changes = below(documents, prefix);
+        const changes = filterByPrefix(documents, prefix);
         if (changes.length > 0) listener.onChanges(changes, revision);
       }
     },
--- a/src/connection/raw_headers.ts
+++ b/src/connection/raw_headers.ts
@@ -1,11 +1,11 @@
 /**
- * Lists of header fields as they stand on the wire: name, value, name, value.
+ * Flat lists of header fields: name, value, name, value.
  */
 
-/** Names and values in turn, in the order received. */
+/** Names and values, alternating, in the order received. */
 export type RawHeaders = readonly string[];
 
-/** Headers that concern one connection only (RFC 9110, 7.6.1). */
+/** Headers that apply to a single connection (RFC 9110, 7.6.1). */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -18,15 +18,15 @@
   'upgrade',
 ]);
 
-/** Headers that frame a body; set anew by the sender of each message. */
+/** Headers that frame a body; each sender sets them anew. */
 const FRAMING_HEADERS: ReadonlySet<string> = new Set([
   'content-length',
   'expect',
 ]);
 
 /**
- * Fields to pass on: without those of the connection, of the framing, and
- * those named.
+ * Header fields to forward: without connection headers, framing headers, and
+ * the headers in `dropped`.
  */
 export function forwardedHeaders(
   headers: RawHeaders,
@@ -34,42 +34,45 @@
 ): string[] {
   return withoutConnectionHeaders(
     headers,
-    lower => FRAMING_HEADERS.has(lower) || dropped.has(lower),
+    lowerName => FRAMING_HEADERS.has(lowerName) || dropped.has(lowerName),
   );
 }
 
 /**
- * Fields without those of the connection they came on, with those that frame the
- * body: an answer takes some 60 bytes less between zones.
+ * Header fields without connection headers, but with framing headers; saves
+ * about 60 bytes per response between zones.
  */
 export function withoutConnectionHeaders(
   headers: RawHeaders,
   isDropped: (lowerName: string) => boolean = () => false,
 ): string[] {
-  const named = namedByConnection(headers);
+  const options = parseConnectionOptions(headers);
   const kept: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index] ?? '';
-    const lower = name.toLowerCase();
-    if (CONNECTION_HEADERS.has(lower) || named.has(lower)) continue;
-    if (isDropped(lower)) continue;
+    const lowerName = name.toLowerCase();
+    if (CONNECTION_HEADERS.has(lowerName) || options.has(lowerName)) continue;
+    if (isDropped(lowerName)) continue;
     kept.push(name, headers[index + 1] ?? '');
   }
   return kept;
 }
 
-const NO_NAMES: ReadonlySet<string> = new Set();
+const NO_OPTIONS: ReadonlySet<string> = new Set();
 
-/** The usual values of `Connection`: options, not headers to be dropped. */
-const NAMES_NO_HEADER: ReadonlySet<string> = new Set(['keep-alive', 'close']);
+/** Common values of `Connection` that are options and not names of headers. */
+const COMMON_CONNECTION_OPTIONS: ReadonlySet<string> = new Set([
+  'keep-alive',
+  'close',
+]);
 
-function namedByConnection(headers: RawHeaders): ReadonlySet<string> {
+function parseConnectionOptions(headers: RawHeaders): ReadonlySet<string> {
   for (let index = 0; index + 1 < headers.length; index += 2) {
     if (headers[index]?.toLowerCase() !== 'connection') continue;
     const value = headers[index + 1] ?? '';
-    if (NAMES_NO_HEADER.has(value)) return NO_NAMES;
+    if (COMMON_CONNECTION_OPTIONS.has(value)) return NO_OPTIONS;
     const names = value.split(',').map(name => name.trim().toLowerCase());
     return new Set(names);
   }
-  return NO_NAMES;
+  return NO_OPTIONS;
 }
--- a/src/connection/received_body_rest.ts
+++ b/src/connection/received_body_rest.ts
@@ -1,33 +1,32 @@
 /**
- * The rest of a long answer as it comes from another node, as a stream that
- * asks for more only as fast as it is read.
+ * Remaining body of a long response from another node, as a stream with
+ * backpressure.
  */
 import {Readable} from 'node:stream';
 import {TransportError} from '../base/errors.js';
 import {BODY_REST_WINDOW_BYTES} from './body_rest_sender.js';
 
-/** Receiving side of one rest. */
+/** Receiving side of one remaining response body. */
 export interface ReceivedBodyRest {
   readonly stream: Readable;
   push(chunk: Buffer): void;
-  /** All has come. */
+  /** The body is complete. */
   end(): void;
-  /** The rest broke off. */
+  /** The body was aborted. */
   fail(reason: string): void;
 }
 
-/** What it needs. */
 export interface ReceivedBodyRestOptions {
-  /** Grants the sender as many bytes as were read. */
+  /** Lets the sender send as many further bytes as were read. */
   readonly extendWindow: (bytes: number) => void;
-  /** The reader left before the end. */
+  /** The reader closed the stream before the end. */
   readonly onAbandoned: () => void;
 }
 
-/** Bytes that are granted at once; each grant costs a frame. */
-const GRANT_BYTES = BODY_REST_WINDOW_BYTES / 4;
+/** Minimum size of a window update; each update costs one frame. */
+const WINDOW_UPDATE_BYTES = BODY_REST_WINDOW_BYTES / 4;
 
-/** Creates the stream of a rest. */
+/** Creates the stream of a remaining response body. */
 export function createReceivedBodyRest(
   options: ReceivedBodyRestOptions,
 ): ReceivedBodyRest {
@@ -35,23 +34,23 @@
   let grantedBytes = 0;
   let isComplete = false;
 
-  const grantWhatWasRead = (): void => {
+  const updateWindow = (): void => {
     const readBytes = pushedBytes - stream.readableLength;
-    if (readBytes - grantedBytes < GRANT_BYTES) return;
+    if (readBytes - grantedBytes < WINDOW_UPDATE_BYTES) return;
     options.extendWindow(readBytes - grantedBytes);
     grantedBytes = readBytes;
   };
   const stream = new Readable({
-    // Called before the bytes that are being read have left the stream.
+    // Called before the bytes that are being read have left the buffer.
     read: () => {
-      process.nextTick(grantWhatWasRead);
+      process.nextTick(updateWindow);
     },
     destroy: (error, callback) => {
       if (!isComplete) options.onAbandoned();
       callback(error);
     },
   });
-  // If the reader has left, the error needs no handling.
+  // If the reader has closed the stream, the error needs no handling.
   stream.on('error', () => undefined);
   return {
     stream,
@@ -68,7 +67,7 @@
     fail: reason => {
       if (isComplete || stream.destroyed) return;
       isComplete = true;
-      const message = `The rest of an answer broke off: ${reason}`;
+      const message = `The response body was aborted: ${reason}`;
       stream.destroy(new TransportError(message, {props: {step: 'read-rest'}}));
     },
   };
--- a/src/connection/received_response.ts
+++ b/src/connection/received_response.ts
@@ -1,33 +1,36 @@
 /**
- * An answer as received: whole if it is small, or its beginning and the stream
- * of the rest.
+ * A received response: complete if it is small, otherwise the beginning of its
+ * body and a stream of the remaining body.
  */
 import type {IncomingMessage} from 'node:http';
 import type {Readable} from 'node:stream';
 import type {RawHeaders} from './raw_headers.js';
 
-/** An answer with its body. */
+/** A response with its body. */
 export interface ReceivedResponse {
   readonly statusCode: number;
   readonly headers: RawHeaders;
-  /** The whole body, or its beginning. */
+  /** The complete body, or its beginning. */
   readonly bodyStart: Buffer;
-  /** The rest of the body, paused; `undefined` if `start` is all of it. */
+  /**
+   * Paused stream of the remaining body; `undefined` if `bodyStart` is
+   * complete.
+   */
   readonly bodyRest: Readable | undefined;
   /**
-   * The upstream sent no length: the end of its connection was the only sign
-   * that the body is complete, and may as well be that of a crash.
+   * The upstream sent no length: only the close of its connection marked the
+   * end of the body, and a crash closes it in the same way.
    */
   readonly isUnframed: boolean;
 }
 
 /**
- * Bodies up to this size are held until complete, so that one that breaks off
- * can be repeated or be answered with a clear failure.
+ * Bodies up to this size are buffered completely, so that a request whose
+ * response is aborted can be retried or fail with a clear error.
  */
-const WHOLE_BYTES = 65_536;
+const MAX_BUFFERED_BYTES = 65_536;
 
-/** Receives the body; rejects if it breaks off before it is held. */
+/** Receives the body; rejects if it is aborted before it is buffered. */
 export function receiveResponse(
   message: IncomingMessage,
 ): Promise<ReceivedResponse> {
@@ -37,8 +40,8 @@
     const finish = (bodyRest: Readable | undefined): void => {
       message.removeListener('data', onData);
       message.removeListener('end', onEnd);
-      message.removeListener('error', onBroken);
-      message.removeListener('close', onBroken);
+      message.removeListener('error', onAborted);
+      message.removeListener('close', onAborted);
       resolve({
         statusCode: message.statusCode ?? 0,
         headers: message.rawHeaders,
@@ -50,30 +53,32 @@
     const onData = (chunk: Buffer): void => {
       chunks.push(chunk);
       bytes += chunk.length;
-      if (bytes <= WHOLE_BYTES) return;
+      if (bytes <= MAX_BUFFERED_BYTES) return;
       message.pause();
       finish(message);
     };
     const onEnd = (): void => {
       if (message.complete) finish(undefined);
-      else onBroken();
+      else onAborted();
     };
-    const onBroken = (error?: Error): void => {
-      reject(error ?? new Error('the answer broke off'));
+    const onAborted = (error?: Error): void => {
+      reject(error ?? new Error('the response was aborted'));
     };
     message.on('data', onData);
     message.on('end', onEnd);
-    message.on('error', onBroken);
-    message.on('close', onBroken);
+    message.on('error', onAborted);
+    message.on('close', onAborted);
   });
 }
 
-/** Waits until a rest is closed; true if it was read to its end. */
-export function waitUntilClosed(rest: Readable): Promise<boolean> {
-  if (rest.closed) return Promise.resolve(rest.readableEnded);
+/**
+ * Waits until a stream is closed; resolves with true if it was read to its end.
+ */
+export function waitUntilClosed(stream: Readable): Promise<boolean> {
+  if (stream.closed) return Promise.resolve(stream.readableEnded);
   return new Promise(resolve => {
-    rest.once('close', () => {
-      resolve(rest.readableEnded);
+    stream.once('close', () => {
+      resolve(stream.readableEnded);
     });
   });
 }
--- a/src/connection/relay_follower.ts
+++ b/src/connection/relay_follower.ts
@@ -11,25 +11,27 @@
 import type {FollowerState} from './follower_state.js';
 import {waitForStalePosition} from './wait_for_stale_position.js';
 
-/** What it needs. */
 export interface RelayFollowerOptions {
   readonly relay: DocumentRelay;
   readonly state: FollowerState;
   readonly peerPositions: PeerPositions | undefined;
-  /** Another node has answered. */
+  /** Another node responded to a poll. */
   readonly onResponse: () => void;
   readonly nowMillis: () => number;
 }
 
 /**
- * Interval of the questions: a node learns of a change at the latest then, and of
- * the loss of the one that watches before the bound is over.
+ * Maximum interval between polls: it limits the delay of a change, and lets a
+ * node detect the loss of the watching node within the configured bound.
  */
 export const RELAY_POLL_INTERVAL_MILLIS = 700;
 
-/** Time left between two questions, the second while others still know more. */
-const PAUSE_MILLIS = 50;
-const STALE_PAUSE_MILLIS = 300;
+/**
+ * Minimum pauses between polls; the second applies while other nodes have later
+ * changes.
+ */
+const POLL_PAUSE_MILLIS = 50;
+const STALE_POLL_PAUSE_MILLIS = 300;
 
 /** Polls the watching node until interrupted. */
 export function followRelay(
@@ -37,8 +39,8 @@
 ): Effect.Effect<never> {
   const {relay, state, peerPositions, nowMillis} = options;
 
-  /** Returns the pause before the next question. */
-  const takeDocuments = (
+  /** Returns the pause before the next poll. */
+  const applyDocuments = (
     after: SourcePosition,
     read: Exclude<RelayPollResult, string>,
     sinceMillis: number,
@@ -51,36 +53,36 @@
     state.applyChanges(after, read);
     state.setWatching(false);
     const isStale = peerPositions?.isStale ?? false;
-    return isStale ? STALE_PAUSE_MILLIS : PAUSE_MILLIS;
+    return isStale ? STALE_POLL_PAUSE_MILLIS : POLL_PAUSE_MILLIS;
   };
 
-  /** Returns the pause before the next question. */
-  const take = (
+  /** Returns the pause before the next poll. */
+  const applyPollResult = (
     after: SourcePosition,
-    end: RelayPollResult,
+    result: RelayPollResult,
     sinceMillis: number,
   ): number => {
-    if (end === 'watch') {
+    if (result === 'watch') {
       state.setWatching(true);
       return RELAY_POLL_INTERVAL_MILLIS;
     }
-    if (end === 'failed') {
+    if (result === 'failed') {
       return state.isSourceLost ? RELAY_POLL_INTERVAL_MILLIS : 0;
     }
-    // The position that was asked for is void, or about to be.
+    // The polled position is invalid, or is about to become invalid.
     if (state.isReading || state.readRequirement !== 'no') {
       return RELAY_POLL_INTERVAL_MILLIS;
     }
     if (state.position?.epoch !== after.epoch) {
       return RELAY_POLL_INTERVAL_MILLIS;
     }
-    if (end !== 'read') return takeDocuments(after, end, sinceMillis);
+    if (result !== 'read') return applyDocuments(after, result, sinceMillis);
     state.setWatching(false);
     state.requireRead('until-read');
     return RELAY_POLL_INTERVAL_MILLIS;
   };
 
-  const untilAskedAgain =
+  const untilNextPoll =
     peerPositions === undefined
       ? Effect.sleep(RELAY_POLL_INTERVAL_MILLIS)
       : Effect.raceFirst(
@@ -90,10 +92,10 @@
 
   const pauseFor = (millis: number): Effect.Effect<unknown> => {
     if (millis === 0) return Effect.void;
-    const slept = Effect.sleep(millis);
+    const sleep = Effect.sleep(millis);
     return millis < RELAY_POLL_INTERVAL_MILLIS
-      ? Effect.andThen(slept, untilAskedAgain)
-      : slept;
+      ? Effect.andThen(sleep, untilNextPoll)
+      : sleep;
   };
 
   const step = Effect.suspend((): Effect.Effect<unknown, unknown> => {
@@ -106,9 +108,9 @@
       try: () => relay.poll(after, state.isSourceLost),
       catch: error => error,
     }).pipe(
-      Effect.flatMap(end =>
+      Effect.flatMap(result =>
         Effect.try({
-          try: () => take(after, end, sinceMillis),
+          try: () => applyPollResult(after, result, sinceMillis),
           catch: error => error,
         }),
       ),
@@ -116,14 +118,14 @@
     );
   });
 
-  /** Falls back to reading the source when a poll brings no changes. */
-  const failed = Effect.sync(() => {
+  /** Falls back to reading the source when a poll fails. */
+  const requireRead = Effect.sync(() => {
     state.requireRead('until-read');
   });
 
   return step.pipe(
     Effect.catch(() =>
-      Effect.andThen(failed, pauseFor(RELAY_POLL_INTERVAL_MILLIS)),
+      Effect.andThen(requireRead, pauseFor(RELAY_POLL_INTERVAL_MILLIS)),
     ),
     Effect.forever,
   );
--- a/src/connection/remote_execution.ts
+++ b/src/connection/remote_execution.ts
@@ -1,6 +1,6 @@
 /**
- * Sends requests to the nodes beside other upstreams and reads what came of
- * them, with the loads that the answers report.
+ * Sends requests to the nodes of other upstreams, and processes their results
+ * and the loads in their responses.
  */
 import type {Disposable} from '../base/lifecycle.js';
 import {createDisposableStore, createIntervalTimer} from '../base/lifecycle.js';
@@ -30,133 +30,142 @@
 /** Executes requests at other hosts. */
 export interface RemoteExecution extends Disposable {
   execute(target: UpstreamEntry, call: ExecutionCall): Promise<ExecutionResult>;
-  /** The node beside an upstream did not reply when it was asked last. */
+  /** The node of an upstream did not reply to the last probe. */
   isLost(target: UpstreamEntry): boolean;
-  /** Asks the node beside an upstream for what it knows of loads. */
+  /** Queries the loads that the node of an upstream has recorded. */
   queryLoads(target: UpstreamEntry): void;
-  /** Asks it for changes of the published documents; `undefined` without answer. */
+  /**
+   * Queries changes of the published documents; `undefined` without a response.
+   */
   queryChanges(
     target: UpstreamEntry,
-    question: Buffer,
+    query: Buffer,
   ): Promise<Buffer | undefined>;
-  /** Sends a node a report of crashes, or asks it for one. */
+  /** Sends a crash report to a node; the report may request crashes from it. */
   sendCrashReport(peer: Endpoint, report: Buffer): void;
 }
 
-/** What it needs. */
 export interface RemoteExecutionOptions {
   readonly loadTable: LoadTable;
   readonly peerPositions: PeerPositions;
   readonly nowMillis: () => number;
-  /** A node did not reply; so many requests for it were given up. */
+  /** A node did not reply; this many requests to it were failed. */
   readonly onPeerLost: (peer: Endpoint, hopsCount: number) => void;
   readonly onPeerFound: (peer: Endpoint) => void;
-  /** A node answered a report of crashes with what this one lacks. */
+  /** A node responded to a crash report with crashes that are missing here. */
   readonly onCrashReport: (peer: Endpoint, report: Buffer) => void;
-  /** A connection was lost; so many requests on it went on elsewhere. */
+  /**
+   * A connection was lost; this many of its requests were resumed on another
+   * one.
+   */
   readonly onConnectionReplaced: (peer: Endpoint, hopsCount: number) => void;
 }
 
 /**
- * Time that a node has to answer a question for changes. Not the reply bound, which
- * grows in a busy fleet: two nodes that do not answer, one after the other, must
- * leave time for a call to the source within the shortest bound on documents.
+ * Timeout of a query for changes. The reply timeout is not used, because it
+ * grows in a busy fleet: two consecutive nodes without a response must leave
+ * time for a call to the source within the shortest bound on documents.
  */
 export const CHANGES_QUERY_TIMEOUT_MILLIS = 400;
 
-/** Interval at which idle connections are looked for. */
-const EXPIRE_MILLIS = 1000;
+/** Interval of the check for idle connections. */
+const IDLE_CHECK_INTERVAL_MILLIS = 1000;
 
 /** Creates the sending side of one node. */
 export function createRemoteExecution(
   options: RemoteExecutionOptions,
 ): RemoteExecution {
-  const store = createDisposableStore();
-  const replyBound = createReplyTimeout();
-  const watch = store.add(createPeerMonitor({...options, replyBound}));
-  const peers = createPeers(options, watch, replyBound);
-  store.add(peers);
-  const execution: HopExecution = {options, peerOf: peers.of};
+  const disposables = createDisposableStore();
+  const replyTimeout = createReplyTimeout();
+  const monitor = disposables.add(
+    createPeerMonitor({...options, replyTimeout}),
+  );
+  const peers = createPeers(options, monitor, replyTimeout);
+  disposables.add(peers);
+  const execution: ExecutionContext = {options, getPeer: peers.get};
   return {
-    execute: (target, call) => executeResent(execution, target, call),
+    execute: (target, call) => executeWithResend(execution, target, call),
     isLost: target => peers.isLost(target.node),
     queryLoads: target => {
-      peers.of(target.node).sendQuery(LOADS_QUERY);
+      peers.get(target.node).sendQuery(LOADS_QUERY);
     },
-    queryChanges: (target, question) =>
+    queryChanges: (target, query) =>
       new Promise(resolve => {
         const timer = setTimeout(() => {
           resolve(undefined);
         }, CHANGES_QUERY_TIMEOUT_MILLIS);
-        peers.onChanges(target.node, answer => {
+        peers.onChanges(target.node, response => {
           clearTimeout(timer);
-          resolve(answer);
+          resolve(response);
         });
-        peers.of(target.node).sendQuery(question);
+        peers.get(target.node).sendQuery(query);
       }),
     sendCrashReport: (peer, report) => {
-      sendCrashReport(peer, report, answer => {
-        options.onCrashReport(peer, answer);
+      sendCrashReport(peer, report, response => {
+        options.onCrashReport(peer, response);
       });
     },
-    dispose: store.dispose,
+    dispose: disposables.dispose,
   };
 }
 
-interface Peers extends Disposable {
-  of(endpoint: Endpoint): HopPeer;
+interface PeerRegistry extends Disposable {
+  get(endpoint: Endpoint): HopPeer;
   isLost(endpoint: Endpoint): boolean;
-  /** Calls the listener with the next answer of a node; the last one counts. */
-  onChanges(endpoint: Endpoint, listener: (answer: Buffer) => void): void;
+  /**
+   * Calls the listener with the next response of a node; a new listener
+   * replaces the previous one.
+   */
+  onChanges(endpoint: Endpoint, listener: (response: Buffer) => void): void;
 }
 
-/** A node that requests have been sent to. */
-interface KnownPeer {
+/** A node to which requests have been sent. */
+interface MonitoredHopPeer {
   readonly peer: HopPeer;
-  readonly signs: PeerLiveness;
+  readonly liveness: PeerLiveness;
 }
 
-/** Nodes that requests have been sent to. */
+/** Creates the registry of nodes to which requests have been sent. */
 function createPeers(
   options: RemoteExecutionOptions,
-  watch: PeerMonitor,
-  replyBound: ReplyTimeout,
-): Peers {
-  const peers = new Map<string, KnownPeer>();
-  const changesListeners = new Map<string, (answer: Buffer) => void>();
-  const timer = createIntervalTimer(EXPIRE_MILLIS, () => {
+  monitor: PeerMonitor,
+  replyTimeout: ReplyTimeout,
+): PeerRegistry {
+  const peers = new Map<string, MonitoredHopPeer>();
+  const changesListeners = new Map<string, (response: Buffer) => void>();
+  const timer = createIntervalTimer(IDLE_CHECK_INTERVAL_MILLIS, () => {
     for (const {peer} of peers.values()) peer.closeIdleConnections();
   });
   return {
-    of: endpoint => {
+    get: endpoint => {
       const key = formatEndpoint(endpoint);
-      const known = peers.get(key);
-      if (known !== undefined) return known.peer;
+      const existing = peers.get(key);
+      if (existing !== undefined) return existing.peer;
       const peer = createHopPeer({
         endpoint,
         nowMillis: options.nowMillis,
-        replyBound,
+        replyTimeout,
         onDataReceived: () => {
-          signs.recordActivity();
+          liveness.recordActivity();
         },
         onLoads: loads => {
           observeLoads(options, loads);
         },
-        onChanges: answer => {
+        onChanges: response => {
           const listener = changesListeners.get(key);
           changesListeners.delete(key);
-          listener?.(answer);
+          listener?.(response);
         },
         onHopsResumed: hopsCount => {
           options.onConnectionReplaced(endpoint, hopsCount);
         },
       });
-      const signs = watch.add(peer);
-      peers.set(key, {peer, signs});
+      const liveness = monitor.add(peer);
+      peers.set(key, {peer, liveness});
       return peer;
     },
     isLost: endpoint =>
-      peers.get(formatEndpoint(endpoint))?.signs.isLost ?? false,
+      peers.get(formatEndpoint(endpoint))?.liveness.isLost ?? false,
     onChanges: (endpoint, listener) => {
       changesListeners.set(formatEndpoint(endpoint), listener);
     },
@@ -167,74 +176,74 @@
   };
 }
 
-interface HopExecution {
+interface ExecutionContext {
   readonly options: RemoteExecutionOptions;
-  readonly peerOf: (endpoint: Endpoint) => HopPeer;
+  readonly getPeer: (endpoint: Endpoint) => HopPeer;
 }
 
 /**
- * A hop that its node never received was lost with its connection. It cannot
- * run any more, so it is sent once again on another connection.
+ * Resends a hop once on another connection if its node never received it: the
+ * hop was lost with its connection and cannot run any more.
  */
-function executeResent(
-  execution: HopExecution,
+function executeWithResend(
+  execution: ExecutionContext,
   target: UpstreamEntry,
   call: ExecutionCall,
 ): Promise<ExecutionResult> {
   return new Promise(resolve => {
-    executeHop(execution, target, call, end => {
-      const isSilent = end.kind === 'refused' && end.reason === 'silent';
+    executeHop(execution, target, call, result => {
+      const isSilent = result.kind === 'refused' && result.reason === 'silent';
       if (isSilent && !call.cancel.isCancelled) {
         executeHop(execution, target, call, resolve);
       } else {
-        resolve(end);
+        resolve(result);
       }
     });
   });
 }
 
 function executeHop(
-  {options, peerOf}: HopExecution,
+  {options, getPeer}: ExecutionContext,
   target: UpstreamEntry,
   call: ExecutionCall,
-  onEnd: (end: ExecutionResult) => void,
+  onEnd: (result: ExecutionResult) => void,
 ): void {
   if (call.cancel.isCancelled) {
     onEnd({kind: 'refused', reason: 'cancelled'});
     return;
   }
-  const loan = call.origin.grant.delegate();
+  const delegatedRetries = call.origin.grant.delegate();
   const now = options.nowMillis();
   const hop = createOutgoingHop({
-    request: requestOf(target, call, {
-      loan,
+    request: createHopRequest(target, call, {
+      delegatedRetries,
       now,
       knownPosition: options.peerPositions.applied,
     }),
     body: call.body,
     startedMillis: now,
-    onEnd: how => {
-      callers.dispose();
-      onEnd(interpret(options, how, loan));
+    onEnd: result => {
+      cancelListener.dispose();
+      onEnd(handleHopResult(options, result, delegatedRetries));
     },
   });
-  const callers = call.cancel.onCancel(() => {
+  const cancelListener = call.cancel.onCancel(() => {
     hop.fail('cancelled');
   });
-  peerOf(target.node).send(hop);
+  getPeer(target.node).send(hop);
 }
 
-/** What a hop carries of its sender. */
-interface HopParts {
-  readonly loan: DelegatedRetries;
+/** Sender state that a hop carries. */
+interface SenderFields {
+  readonly delegatedRetries: DelegatedRetries;
   readonly now: number;
   readonly knownPosition: PositionFields;
 }
 
-function requestOf(
+function createHopRequest(
   target: UpstreamEntry,
   call: ExecutionCall,
-  {loan, now, knownPosition}: HopParts,
+  {delegatedRetries, now, knownPosition}: SenderFields,
 ): Omit<HopRequest, 'hopId' | 'bodyForm'> {
   const {origin} = call;
   return {
@@ -255,32 +264,32 @@
       rootRouteName: origin.rootRouteName,
       rootAgeMillis: now - origin.rootBeganAtMillis,
       isRepeat: origin.isRepeat,
-      repeatsCount: loan.count,
+      repeatsCount: delegatedRetries.count,
     },
     knownPosition,
   };
 }
 
-function interpret(
+function handleHopResult(
   options: RemoteExecutionOptions,
-  end: HopResult,
-  loan: DelegatedRetries,
+  result: HopResult,
+  delegatedRetries: DelegatedRetries,
 ): ExecutionResult {
-  switch (end.kind) {
+  switch (result.kind) {
     case 'not-run':
-      loan.reclaim(loan.count);
-      return {kind: 'refused', reason: end.reason};
+      delegatedRetries.reclaim(delegatedRetries.count);
+      return {kind: 'refused', reason: result.reason};
     case 'lost':
-      return {kind: 'unknown', reason: end.reason, hasFailedCall: false};
+      return {kind: 'unknown', reason: result.reason, hasFailedCall: false};
     case 'answer':
-      loan.reclaim(end.answer.unspentCount);
-      observeLoads(options, end.answer.loads);
-      options.peerPositions.recordPeerPosition(end.answer.knownPosition);
-      return endOf(end);
+      delegatedRetries.reclaim(result.answer.unspentCount);
+      observeLoads(options, result.answer.loads);
+      options.peerPositions.recordPeerPosition(result.answer.knownPosition);
+      return toExecutionResult(result);
   }
 }
 
-function endOf({
+function toExecutionResult({
   answer,
   received,
 }: Extract<HopResult, {kind: 'answer'}>): ExecutionResult {
--- a/src/connection/request_body.ts
+++ b/src/connection/request_body.ts
@@ -1,9 +1,9 @@
 /**
- * Reads the body of a request whole, within a bound.
+ * Reads the complete body of a request, up to a maximum size.
  */
 import type {IncomingMessage} from 'node:http';
 
-/** How the reading ended. */
+/** Result of reading a body. */
 export type BodyReadResult =
   | {readonly kind: 'whole'; readonly bytes: Buffer}
   | {readonly kind: 'too-large'}
@@ -11,14 +11,16 @@
 
 const EMPTY: BodyReadResult = {kind: 'whole', bytes: Buffer.alloc(0)};
 
-/** Whether the header of a request announces a body. */
+/** Whether the headers of a request announce a body. */
 export function hasBody(request: IncomingMessage): boolean {
   const length = request.headers['content-length'];
   const isChunked = request.headers['transfer-encoding'] !== undefined;
   return isChunked || (length !== undefined && length !== '0');
 }
 
-/** Reads to the end of the body, to its bound, or to the end of the client. */
+/**
+ * Reads until the end of the body, `maxBytes`, or the disconnect of the client.
+ */
 export function readRequestBody(
   request: IncomingMessage,
   maxBytes: number,
--- a/src/connection/request_fingerprint.ts
+++ b/src/connection/request_fingerprint.ts
@@ -1,14 +1,14 @@
 /**
- * Identity of a request beyond one attempt: what stays the same when its caller
- * sends it again, through whichever node.
+ * Fingerprints of a request that stay the same when the caller retries it
+ * through any node.
  */
 import {createHash} from 'node:crypto';
 import type {RawHeaders} from './raw_headers.js';
 import {findHeader} from './received_response.js';
 
-/** A request with all that its fingerprints cover. */
+/** Fields of a request that its fingerprints cover. */
 export interface FingerprintedRequest {
-  /** Service on whose host the request began. */
+  /** Service on whose host the request originated. */
   readonly callerService: string;
   readonly method: string;
   readonly target: string;
@@ -18,29 +18,29 @@
 
 /** Fingerprints of one request. */
 export interface RequestFingerprints {
-  /** Of method, host, target and body. */
+  /** Digest of method, host, target and body. */
   readonly content: string;
-  /** Of these and the service of the caller. */
+  /** Digest of the above and the service of the caller. */
   readonly contentAndCaller: string;
 }
 
-/** Length of a fingerprint; texts take a third more. */
+/** Length of a fingerprint in bytes; its text form is a third longer. */
 const FINGERPRINT_BYTES = 12;
 
-/** Computes both fingerprints; costs one pass over the body. */
+/** Computes both fingerprints in one pass over the body. */
 export function computeFingerprints(
   request: FingerprintedRequest,
 ): RequestFingerprints {
   const {method, target, headers, body} = request;
   const host = findHeader(headers, 'host') ?? '';
-  const content = digestOf([method, host, target].join('\n'), body);
+  const content = computeDigest([method, host, target].join('\n'), body);
   return {
     content,
-    contentAndCaller: digestOf(content, request.callerService),
+    contentAndCaller: computeDigest(content, request.callerService),
   };
 }
 
-function digestOf(first: string, second: string | Buffer): string {
+function computeDigest(first: string, second: string | Buffer): string {
   return createHash('sha256')
     .update(`${first}\n`)
     .update(second)
--- a/src/connection/response_sender.ts
+++ b/src/connection/response_sender.ts
@@ -1,5 +1,5 @@
 /**
- * Writes an answer on a connection, so that an incomplete one never looks
+ * Writes a response to a client such that an incomplete one never looks
  * complete.
  */
 import type {ServerResponse} from 'node:http';
@@ -9,73 +9,77 @@
 import {findHeader} from './received_response.js';
 
 /**
- * Sends an answer with the given headers in place of its own; `HEAD` is
- * answered without a body.
+ * Sends a response with the given headers instead of its own; a response to
+ * `HEAD` has no body.
  */
 export function sendResponse(
   response: ServerResponse,
-  answer: ReceivedResponse,
+  received: ReceivedResponse,
   headers: readonly string[],
   method: string,
 ): void {
   if (response.destroyed) {
-    answer.bodyRest?.destroy();
+    received.bodyRest?.destroy();
     return;
   }
   const fields = [...headers];
-  if (isCloseDelimited(answer, method)) {
-    sendUnframed(response, answer, fields);
+  if (isCloseDelimited(received, method)) {
+    sendUnframed(response, received, fields);
     return;
   }
-  if (answer.bodyRest === undefined) {
-    addLength(fields, answer, method);
-    response.writeHead(answer.statusCode, fields);
-    // As text the body goes out in one write with the header; as bytes it would
-    // be a second one.
-    response.end(answer.bodyStart.toString('latin1'), 'latin1');
+  if (received.bodyRest === undefined) {
+    addContentLength(fields, received, method);
+    response.writeHead(received.statusCode, fields);
+    // A string body is sent in one write with the header; a buffer would need a
+    // second write.
+    response.end(received.bodyStart.toString('latin1'), 'latin1');
     return;
   }
-  const length = findHeader(answer.headers, 'content-length');
+  const length = findHeader(received.headers, 'content-length');
   if (length !== undefined) fields.push('content-length', length);
-  response.writeHead(answer.statusCode, fields);
-  writeWithRest(response, answer, answer.bodyRest);
+  response.writeHead(received.statusCode, fields);
+  writeWithBodyRest(response, received, received.bodyRest);
 }
 
-/** Whether the end of the connection is the end of the answer. */
+/** Whether the close of the connection marks the end of the body. */
 export function isCloseDelimited(
-  answer: ReceivedResponse,
+  received: ReceivedResponse,
   method: string,
 ): boolean {
-  return answer.isUnframed && hasBody(answer, method);
+  return received.isUnframed && hasBody(received, method);
 }
 
 /**
- * Ends the body with the connection, as the upstream did. A length would
- * vouch for a body that may have been cut short by a crash.
+ * Closes the connection at the end of the body, as the upstream did. A content
+ * length would present a body as complete that a crash may have cut short.
  */
 function sendUnframed(
   response: ServerResponse,
-  answer: ReceivedResponse,
+  received: ReceivedResponse,
   fields: readonly string[],
 ): void {
   response.useChunkedEncodingByDefault = false;
   response.shouldKeepAlive = false;
-  const others = withoutConnection(fields);
-  response.writeHead(answer.statusCode, [...others, 'connection', 'close']);
-  const {bodyRest} = answer;
+  const otherFields = withoutConnectionHeader(fields);
+  response.writeHead(received.statusCode, [
+    ...otherFields,
+    'connection',
+    'close',
+  ]);
+  const {bodyRest} = received;
   if (bodyRest === undefined) {
-    response.end(answer.bodyStart);
+    response.end(received.bodyStart);
     return;
   }
-  // An end in good order is the end of such an answer: closed like any other
-  // connection, a broken one would be taken for whole. A reset tells.
+  // A normal close marks the end of such a response, so an aborted body would
+  // look complete to the client; a reset reports the abort.
   bodyRest.once('error', () => {
     response.socket?.resetAndDestroy();
   });
-  writeWithRest(response, answer, bodyRest);
+  writeWithBodyRest(response, received, bodyRest);
 }
 
-function withoutConnection(fields: readonly string[]): readonly string[] {
+function withoutConnectionHeader(fields: readonly string[]): readonly string[] {
   const kept: string[] = [];
   for (let index = 0; index + 1 < fields.length; index += 2) {
     const name = fields[index] ?? '';
@@ -86,34 +90,34 @@
 }
 
 /**
- * `pipeline` destroys the connection if the rest breaks off: an answer that
+ * `pipeline` destroys the connection if the body is aborted: a response that
  * merely ended would look complete to a client that expects chunks.
  */
-function writeWithRest(
+function writeWithBodyRest(
   response: ServerResponse,
-  answer: ReceivedResponse,
-  rest: Readable,
+  received: ReceivedResponse,
+  bodyRest: Readable,
 ): void {
-  response.write(answer.bodyStart);
-  pipeline(rest, response, () => undefined);
+  response.write(received.bodyStart);
+  pipeline(bodyRest, response, () => undefined);
 }
 
-function hasBody(answer: ReceivedResponse, method: string): boolean {
-  return method !== 'HEAD' && !NO_BODY_STATUS_CODES.has(answer.statusCode);
+function hasBody(received: ReceivedResponse, method: string): boolean {
+  return method !== 'HEAD' && !NO_BODY_STATUS_CODES.has(received.statusCode);
 }
 
 const NO_BODY_STATUS_CODES: ReadonlySet<number> = new Set([204, 304]);
 
-function addLength(
+function addContentLength(
   fields: string[],
-  answer: ReceivedResponse,
+  received: ReceivedResponse,
   method: string,
 ): void {
-  if (hasBody(answer, method)) {
-    fields.push('content-length', String(answer.bodyStart.length));
+  if (hasBody(received, method)) {
+    fields.push('content-length', String(received.bodyStart.length));
     return;
   }
-  const length = findHeader(answer.headers, 'content-length');
+  const length = findHeader(received.headers, 'content-length');
   if (method === 'HEAD' && length !== undefined) {
     fields.push('content-length', length);
   }
--- a/src/connection/send_request.ts
+++ b/src/connection/send_request.ts
@@ -1,6 +1,6 @@
 /**
- * Sends one request on a pooled connection and reports what is proven about it
- * when no answer comes.
+ * Sends one request on a pooled connection and reports what is certain about it
+ * if there is no response.
  */
 import http from 'node:http';
 import type {CancelSignal} from '../base/cancel_signal.js';
@@ -29,9 +29,9 @@
       /** Closes the connection instead of keeping it for the next request. */
       readonly discardConnection: () => void;
     }
-  /** The other side never received the whole request. */
+  /** The server never received the complete request. */
   | {readonly kind: 'not-sent'; readonly reason: string}
-  /** The other side may have received it. */
+  /** The server may have received it. */
   | {
       readonly kind: 'lost';
       readonly reason: string;
@@ -42,7 +42,7 @@
 /** Sends a request; `onEnd` is called once. */
 export function sendRequest(
   outgoing: OutgoingRequest,
-  onEnd: (end: SendResult) => void,
+  onEnd: (finish: SendResult) => void,
 ): void {
   const {to} = outgoing;
   const request = http.request({
@@ -51,30 +51,32 @@
     port: to.port,
     method: outgoing.method,
     path: outgoing.target,
-    headers: framedHeaders(outgoing) as unknown as http.OutgoingHttpHeaders,
+    headers: withFramingHeaders(
+      outgoing,
+    ) as unknown as http.OutgoingHttpHeaders,
     setHost: false,
   });
   let isSent = false;
   let isEnded = false;
   let timer: NodeJS.Timeout | undefined;
-  let received: http.IncomingMessage | undefined;
+  let receivedMessage: http.IncomingMessage | undefined;
 
-  const end = (result: SendResult): void => {
+  const finish = (result: SendResult): void => {
     if (isEnded) return;
     isEnded = true;
     clearTimeout(timer);
-    cancelled.dispose();
+    cancelListener.dispose();
     onEnd(result);
   };
   const fail = (reason: string): void => {
     if (isSent) {
-      end({kind: 'lost', reason, wasReused: request.reusedSocket});
+      finish({kind: 'lost', reason, wasReused: request.reusedSocket});
     } else {
-      end({kind: 'not-sent', reason});
+      finish({kind: 'not-sent', reason});
     }
     request.destroy();
   };
-  const cancelled = outgoing.cancel.onCancel(() => {
+  const cancelListener = outgoing.cancel.onCancel(() => {
     fail('cancelled');
   });
 
@@ -83,8 +85,8 @@
       isSent = true;
       return;
     }
-    // A peer behind a network partition answers no connection attempt, and
-    // the system's own limit is minutes.
+    // A server behind a network partition does not respond to connection
+    // attempts, and the timeout of the operating system is minutes.
     timer = setTimeout(() => {
       fail('connect-timeout');
     }, outgoing.connectTimeoutMillis);
@@ -94,21 +96,21 @@
     });
   });
   request.on('error', error => {
-    // A reset ends what has no length like an end in good order: Node's client
-    // emits the error first and then finishes the message. Destroyed before, it
-    // is reported as broken off.
-    if (received?.complete === false) received.destroy(error);
+    // Without a length, a reset looks like a normal end of the body: the client
+    // of Node.js emits the error first and then completes the message.
+    // Destroying the message first reports it as aborted.
+    if (receivedMessage?.complete === false) receivedMessage.destroy(error);
     fail(describeError(error));
   });
   request.on('response', message => {
-    received = message;
+    receivedMessage = message;
     const discardConnection = (): void => {
       request.destroy();
       message.socket?.destroy();
     };
     receiveResponse(message).then(
       answer => {
-        end({kind: 'answer', answer, discardConnection});
+        finish({kind: 'answer', answer, discardConnection});
       },
       (error: unknown) => {
         fail(describeError(error));
@@ -118,7 +120,7 @@
   request.end(outgoing.body);
 }
 
-function framedHeaders(outgoing: OutgoingRequest): readonly string[] {
+function withFramingHeaders(outgoing: OutgoingRequest): readonly string[] {
   const {headers, body, method} = outgoing;
   if (body.length === 0 && (method === 'GET' || method === 'HEAD')) {
     return headers;
--- a/src/connection/upstream_probe.ts
+++ b/src/connection/upstream_probe.ts
@@ -1,23 +1,23 @@
 /**
- * Asks the operating system whether a process still listens at an address.
+ * Checks whether a process still listens at an address.
  */
 import {connect} from 'node:net';
 import type {Endpoint} from '../process/settings/node_settings.js';
 
-/** What became of a connection attempt. */
+/** Result of a connection attempt. */
 export type ProbeResult =
   | 'accepted'
-  /** No process listens there. */
+  /** No process listens at the address. */
   | 'refused'
   /** No reply in time. */
   | 'silent';
 
-/** Time for a reply; connecting within one host takes about a millisecond. */
+/** Reply timeout; connecting within one host takes about a millisecond. */
 const PROBE_TIMEOUT_MILLIS = 300;
 
 const REFUSED_CODE = 'ECONNREFUSED';
 
-/** Opens a connection and closes it at once, without sending anything. */
+/** Opens a connection and closes it immediately without sending anything. */
 export function probeUpstream({address, port}: Endpoint): Promise<ProbeResult> {
   return new Promise(resolve => {
     const socket = connect({host: address, port});
--- a/src/connection/upstream_sender.ts
+++ b/src/connection/upstream_sender.ts
@@ -1,5 +1,5 @@
 /**
- * Sends requests to the upstream of this host and reports what came of each.
+ * Sends requests to the upstream of this host and reports their results.
  */
 import type {CancelSignal} from '../base/cancel_signal.js';
 import type {Disposable} from '../base/lifecycle.js';
@@ -29,14 +29,14 @@
   readonly cancel: CancelSignal;
 }
 
-/** What came of it. */
+/** Result of a request. */
 export type UpstreamResult =
   | {readonly kind: 'answered'; readonly answer: ReceivedResponse}
-  /** Not run, and it will not be. */
+  /** Not run, and it will not run. */
   | {
       readonly kind: 'not-run';
       readonly reason: HopReason;
-      /** Id that the upstream says is its own, if it is another one. */
+      /** Id that the upstream reports as its own, if it differs. */
       readonly actualId?: string | undefined;
     }
   /** It may have run. */
@@ -49,25 +49,27 @@
 /** Sends requests to one upstream. */
 export interface UpstreamSender extends Disposable {
   /** Sends a request; `onEnd` is called once. */
-  send(request: UpstreamRequest, onEnd: (end: UpstreamResult) => void): void;
+  send(request: UpstreamRequest, onEnd: (result: UpstreamResult) => void): void;
   /**
-   * Closes idle connections, which lead to a start of the upstream that is gone.
-   * If they fell silent, an order written on one would end without an answer,
+   * Closes idle connections, which belong to a previous start of the upstream.
+   * If they were dropped silently, a request sent on one would get no response,
    * and it would be unknown whether it ran.
    */
   closeIdleConnections(): void;
 }
 
 /**
- * Bound on opening a connection within one host, where it takes about a
- * millisecond: beyond it the upstream is dead or cannot accept.
+ * Connect timeout within one host, where connecting takes about a millisecond:
+ * beyond it the upstream is dead or cannot accept connections.
  */
 const CONNECT_TIMEOUT_MILLIS = 300;
 
-/** Idle connections are closed before an upstream that announces no limit. */
+/** Idle timeout; shorter than that of an upstream that announces none. */
 const MAX_IDLE_MILLIS = 4000;
 
-/** Connections to the upstream; its slots are the tighter bound. */
+/**
+ * Maximum number of connections to the upstream; its slots are the lower limit.
+ */
 const MAX_SOCKETS_COUNT = 1024;
 
 const STATUS_MISDIRECTED = 421;
@@ -75,37 +77,37 @@
 /** Creates a sender with an empty pool. */
 export function createUpstreamSender(
   upstream: Endpoint,
-  names: WireHeaders,
+  wireHeaders: WireHeaders,
 ): UpstreamSender {
   const agent = createKeepAliveAgent({
     maxIdleMillis: MAX_IDLE_MILLIS,
     maxSocketsCount: MAX_SOCKETS_COUNT,
   });
-  let answersCount = 0;
+  let responsesCount = 0;
   return {
     send: (request, onEnd) => {
-      const answersBefore = answersCount;
+      const responsesBefore = responsesCount;
       const outgoing = {
         to: upstream,
         agent,
         method: request.method,
         target: request.target,
-        headers: upstreamHeaders(request, names),
+        headers: upstreamHeaders(request, wireHeaders),
         body: request.body,
         connectTimeoutMillis: CONNECT_TIMEOUT_MILLIS,
         cancel: request.cancel,
       };
-      sendRequest(outgoing, end => {
-        if (end.kind === 'answer') answersCount += 1;
-        // A request that hung to its end on a kept connection may have been lost
-        // with it, and the other idle ones fell silent at the same moment. Not if
-        // anything was answered meanwhile: an upstream that is slow would have
-        // its connections opened anew with each timeout.
-        const wasSilent = answersCount === answersBefore;
-        if (end.kind === 'lost' && end.wasReused && wasSilent) {
+      sendRequest(outgoing, result => {
+        if (result.kind === 'answer') responsesCount += 1;
+        // A request that timed out on a reused connection may have been lost
+        // with it, and other idle connections were probably dropped at the same
+        // moment. If any response arrived meanwhile, the upstream is only slow,
+        // and closing would open new connections after each timeout.
+        const wasSilent = responsesCount === responsesBefore;
+        if (result.kind === 'lost' && result.wasReused && wasSilent) {
           closeIdleConnections(agent, upstream);
         }
-        onEnd(interpret(end, request, names));
+        onEnd(toUpstreamResult(result, request, wireHeaders));
       });
     },
     closeIdleConnections: () => {
@@ -119,65 +121,70 @@
 
 function upstreamHeaders(
   request: UpstreamRequest,
-  names: WireHeaders,
+  wireHeaders: WireHeaders,
 ): readonly string[] {
   return [
     ...request.headers,
-    ...(names.isAttemptIdRequired ? [] : [names.attemptId, request.attemptId]),
-    names.timeoutMillis,
+    ...(wireHeaders.isAttemptIdRequired
+      ? []
+      : [wireHeaders.attemptId, request.attemptId]),
+    wireHeaders.timeoutMillis,
     String(request.timeoutMillis),
-    names.expectedUpstreamId,
+    wireHeaders.expectedUpstreamId,
     request.upstreamId,
-    names.callerService,
+    wireHeaders.callerService,
     request.callerService,
     'connection',
     'keep-alive',
   ];
 }
 
-function interpret(
-  end: SendResult,
+function toUpstreamResult(
+  result: SendResult,
   request: UpstreamRequest,
-  names: WireHeaders,
+  wireHeaders: WireHeaders,
 ): UpstreamResult {
-  if (end.kind === 'not-sent') return {kind: 'not-run', reason: 'unreachable'};
-  if (end.kind === 'lost') {
+  if (result.kind === 'not-sent')
+    return {kind: 'not-run', reason: 'unreachable'};
+  if (result.kind === 'lost') {
     const reason = request.cancel.isCancelled ? 'cancelled' : 'connection-lost';
-    return {kind: 'unknown', reason, wasReused: end.wasReused};
+    return {kind: 'unknown', reason, wasReused: result.wasReused};
   }
-  const {answer} = end;
-  if (isForeign(answer, request, names)) {
-    end.discardConnection();
+  const {answer} = result;
+  if (isMismatched(answer, request, wireHeaders)) {
+    result.discardConnection();
     return {kind: 'unknown', reason: 'broken-answer', wasReused: false};
   }
   if (answer.statusCode === STATUS_MISDIRECTED) {
     const actualId =
-      names.upstreamId && findHeader(answer.headers, names.upstreamId);
+      wireHeaders.upstreamId &&
+      findHeader(answer.headers, wireHeaders.upstreamId);
     return {kind: 'not-run', reason: 'misdirected', actualId};
   }
-  if (findHeader(answer.headers, names.notExecuted) !== undefined) {
+  if (findHeader(answer.headers, wireHeaders.notExecuted) !== undefined) {
     return {kind: 'not-run', reason: 'not-executed'};
   }
   return {kind: 'answered', answer};
 }
 
 /**
- * Whether the answer is not the upstream's answer to this request. A faulty
- * upstream sends a second answer late, which then stands where the next one is
- * expected; the caller would receive what belongs to somebody else.
+ * Whether the response does not belong to this request. A faulty upstream may
+ * send a second response late, which is then read as the response to the next
+ * request; the caller would receive data of another caller.
  */
-function isForeign(
-  answer: ReceivedResponse,
+function isMismatched(
+  response: ReceivedResponse,
   request: UpstreamRequest,
-  names: WireHeaders,
+  wireHeaders: WireHeaders,
 ): boolean {
-  const {headers, statusCode} = answer;
-  const echoedId = findHeader(headers, names.attemptId);
+  const {headers, statusCode} = response;
+  const echoedId = findHeader(headers, wireHeaders.attemptId);
   if (echoedId !== undefined && echoedId !== request.attemptId) return true;
   if (findHeader(headers, 'content-encoding') !== undefined) return true;
   const isSuccess = statusCode >= 200 && statusCode < 300;
-  if (!isSuccess || names.signature === undefined) return false;
+  if (!isSuccess || wireHeaders.signature === undefined) return false;
   return (
-    echoedId === undefined || findHeader(headers, names.signature) === undefined
+    echoedId === undefined ||
+    findHeader(headers, wireHeaders.signature) === undefined
   );
 }
--- a/src/connection/wait_for_stale_position.ts
+++ b/src/connection/wait_for_stale_position.ts
@@ -1,5 +1,5 @@
 /**
- * Waits until another node has a later position in the source.
+ * Waits until another node reports a later position in the source.
  */
 import * as Effect from 'effect/Effect';
 import type {PeerPositions} from '../process/membership/peer_positions.js';
@@ -9,9 +9,9 @@
   peerPositions: PeerPositions,
 ): Effect.Effect<undefined> {
   return Effect.callback<undefined>(resume => {
-    const listening = peerPositions.onStale(() => {
+    const subscription = peerPositions.onStale(() => {
       resume(Effect.succeed(undefined));
     });
-    return Effect.sync(listening.dispose);
+    return Effect.sync(subscription.dispose);
   });
 }
--- a/test/unit/connection/closing_hop_listener.test.ts
+++ b/test/unit/connection/closing_hop_listener.test.ts
@@ -4,14 +4,13 @@
 import {createHopFixture} from '../../fakes/hop_fixture.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
-/** Place of the kind in a frame: behind its length. */
+/** Offset of the kind in a frame, after the length. */
 const KIND_OFFSET_BYTES = 4;
 
-test('a connection that the system has accepted is served though the listener closes', async t => {
-  // Reads failed with an unknown outcome while a node was replaced. A sender had
-  // connected and sent its request, the node closed its listener before it took
-  // the connection, and the system reset it: nobody could tell whether the
-  // request had run, though it had not even been read.
+test('a connection in the accept backlog is served although the listener closes', async t => {
+  // While a node was replaced, it closed its listener before accepting a connection
+  // on which a request had been sent. The connection was reset, and the read failed
+  // with an unknown outcome although the request had never been received.
   const {listener} = await createHopFixture(t, () => Promise.resolve());
   const socket = connect(listener.port, '127.0.0.1');
   t.teardown(() => socket.destroy());
@@ -23,10 +22,13 @@
   socket.on('error', error => {
     failure = error;
   });
-  // The system has accepted it, and the listener has had no turn since.
+  // The connection is in the backlog; the listener has not accepted it yet.
   await new Promise(process.nextTick);
   const closed = listener.close();
-  await waitUntil('ended', () => received.length > 0 || failure !== undefined);
+  await waitUntil(
+    'data or error',
+    () => received.length > 0 || failure !== undefined,
+  );
   t.is(failure?.code, undefined);
   t.is(received[KIND_OFFSET_BYTES], FRAME_KIND.hello);
   socket.end();
--- a/test/unit/connection/crash_report_sender.test.ts
+++ b/test/unit/connection/crash_report_sender.test.ts
@@ -10,9 +10,9 @@
 import {waitUntil} from '../../fakes/wait_until.js';
 
 const ADDRESS = '127.0.0.1';
-const NOTHING = (): void => undefined;
+const noop = (): void => undefined;
 
-/** A clock that stands still, so that no idle connection expires. */
+/** A constant time, so that no idle connection expires. */
 const nowMillis = (): number => 0;
 
 const REPORT = encodeCrashReport({
@@ -27,18 +27,18 @@
     loadTable: createLoadTable(nowMillis),
     peerPositions: createPeerPositions(),
     nowMillis,
-    onPeerLost: NOTHING,
-    onPeerFound: NOTHING,
+    onPeerLost: noop,
+    onPeerFound: noop,
     onCrashReport: (_peer, report) => {
       onCrashReport(report);
     },
-    onConnectionReplaced: NOTHING,
+    onConnectionReplaced: noop,
   });
 }
 
-test('a report is answered, and leaves no connection on which requests would be sent', async t => {
-  // Guards against requests on idle connections that a partition has silenced, where a
-  // new connection would have failed at once.
+test('a report gets a response and leaves no open connection', async t => {
+  // A connection that stayed open would be used for requests. Behind a partition
+  // they would get no response, where a new connection fails immediately.
   const sockets = new Set<Socket>();
   const listener = await openHopListener({
     endpoint: {address: ADDRESS, port: 0},
@@ -54,25 +54,25 @@
       t.fail(`malformed message from ${peer}`);
     },
   });
-  // Counts the connections that pass on the way to the listener.
-  const front = createServer(near => {
-    sockets.add(near);
-    near.on('close', () => sockets.delete(near));
-    const far = connect({host: ADDRESS, port: listener.port});
-    far.on('error', NOTHING);
-    near.on('error', NOTHING);
-    near.pipe(far).pipe(near);
+  // Proxy that tracks the connections to the listener.
+  const proxy = createServer(clientSocket => {
+    sockets.add(clientSocket);
+    clientSocket.on('close', () => sockets.delete(clientSocket));
+    const listenerSocket = connect({host: ADDRESS, port: listener.port});
+    listenerSocket.on('error', noop);
+    clientSocket.on('error', noop);
+    clientSocket.pipe(listenerSocket).pipe(clientSocket);
   });
-  const port = await bindListener(front, {address: ADDRESS, port: 0});
+  const port = await bindListener(proxy, {address: ADDRESS, port: 0});
   const reports: Buffer[] = [];
   const sender = createSender(report => reports.push(report));
   t.teardown(async () => {
     sender.dispose();
-    front.close();
+    proxy.close();
     await listener.close();
   });
   sender.sendCrashReport({address: ADDRESS, port}, REPORT);
-  await waitUntil('answer', () => reports.length === 1);
+  await waitUntil('response', () => reports.length === 1);
   t.deepEqual(reports[0], REPORT);
-  await waitUntil('no connection', () => sockets.size === 0);
+  await waitUntil('connections closed', () => sockets.size === 0);
 });
--- a/test/unit/connection/document_follower.test.ts
+++ b/test/unit/connection/document_follower.test.ts
@@ -5,19 +5,18 @@
 import {createFollowerPacing} from '../../../src/process/membership/follower_pacing.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
-/** An answer without news. */
+/** A response without changes. */
 const UNCHANGED = {documents: [], position: {epoch: 0, revision: 1}};
 
-/** What a fleet publishes that has been running. */
-const LISTED = {
+/** Initial documents of a running fleet. */
+const INITIAL = {
   ...UNCHANGED,
   documents: [{key: 'p/1', revision: 1, text: '1'}],
 };
 
-test('a lost source is asked with short waits until it answers', async t => {
-  // Symptom: a leaving upstream gets requests for seconds after the store was
-  // well again. Sequence: a long watch is sent just before the store answers
-  // again, and is overdue only much later. Cause: the wait was the same then.
+test('a lost source is watched with short timeouts until it responds', async t => {
+  // A long watch that is sent just before the store recovers times out only much
+  // later, and a leaving upstream gets requests for seconds after the recovery.
   const waitsMillis: number[] = [];
   const events: string[] = [];
   const follower = Effect.runFork(
@@ -34,13 +33,13 @@
         onReached: () => events.push('reached'),
       },
       source: {
-        read: () => Promise.resolve(LISTED),
+        read: () => Promise.resolve(INITIAL),
         watch: (_prefix, _revision, waitMillis) => {
           waitsMillis.push(waitMillis);
           if (waitsMillis.length > 4) return new Promise(() => undefined);
           const isLost = waitsMillis.length === 2 || waitsMillis.length === 3;
           return isLost
-            ? Promise.reject(new Error('no answer'))
+            ? Promise.reject(new Error('no response'))
             : Promise.resolve(UNCHANGED);
         },
         dispose: () => undefined,
