--- a/test/unit/connection/document_follower_load.test.ts
+++ b/test/unit/connection/document_follower_load.test.ts
@@ -1,6 +1,6 @@
 /**
- * Replays of what a follower asks of its source, and how late it learns, while
- * many documents change and while the source is away.
+ * Simulates a document follower: number of calls to its source, and delay of
+ * changes, while many documents change and while the source is unavailable.
  */
 import test from 'ava';
 import {createFollowerPacing} from '../../../src/process/membership/follower_pacing.js';
@@ -13,45 +13,45 @@
 
 const STEP_MILLIS = 10;
 
-/** What a replay does at a time. */
-type Act = (
+/** Actions on the source at a point of simulated time. */
+type SourceScript = (
   source: ReplayedSource,
   atMillis: number,
   peerPositions: PeerPositions,
 ) => void;
 
-interface Replayed {
+interface ReplayResult {
   readonly callsPerSecond: number;
-  /** Longest time from a change to its arrival. */
+  /** Longest time from a change to its receipt. */
   readonly worstDelayMillis: number;
-  /** Times at which the source was noticed to be there again. */
+  /** Times at which the source was detected as reachable. */
   readonly reachedMillis: readonly number[];
 }
 
-/** Follows a source for so long; `act` is called at every step. */
+/** Follows a source for a simulated time; `script` runs at every step. */
 async function replay(
   seconds: number,
   applyWithinMillis: number,
-  act: Act,
-): Promise<Replayed> {
+  script: SourceScript,
+): Promise<ReplayResult> {
   const clock = {millis: 0};
   let worstDelayMillis = 0;
   const reachedMillis: number[] = [];
-  const changedMillis = new Map<number, number>();
+  const pendingChanges = new Map<number, number>();
   const source = createReplayedSource(() => clock.millis);
   const change = source.change;
-  const watched: ReplayedSource = {
+  const trackedSource: ReplayedSource = {
     ...source,
     change: key => {
       const revision = change(key);
-      changedMillis.set(revision, clock.millis);
+      pendingChanges.set(revision, clock.millis);
       return revision;
     },
   };
-  const learn = (revision: number): void => {
-    for (const [changed, atMillis] of changedMillis) {
-      if (changed > revision) continue;
-      changedMillis.delete(changed);
+  const recordReceived = (revision: number): void => {
+    for (const [changedRevision, atMillis] of pendingChanges) {
+      if (changedRevision > revision) continue;
+      pendingChanges.delete(changedRevision);
       worstDelayMillis = Math.max(worstDelayMillis, clock.millis - atMillis);
     }
   };
@@ -62,7 +62,7 @@
     stepMillis: STEP_MILLIS,
     endMillis: seconds * 1000,
     act: atMillis => {
-      act(watched, atMillis, peerPositions);
+      script(trackedSource, atMillis, peerPositions);
     },
     prefix: '',
     peerPositions,
@@ -76,22 +76,25 @@
       onLost: () => undefined,
       onReached: () => reachedMillis.push(clock.millis),
       onSnapshot: (_documents, revision) => {
-        learn(revision);
+        recordReceived(revision);
       },
       onChanges: (_documents, revision) => {
-        learn(revision);
+        recordReceived(revision);
       },
     },
   });
-  for (const atMillis of changedMillis.values()) {
+  for (const atMillis of pendingChanges.values()) {
     worstDelayMillis = Math.max(worstDelayMillis, clock.millis - atMillis);
   }
   const callsPerSecond = source.callsCount / seconds;
   return {callsPerSecond, worstDelayMillis, reachedMillis};
 }
 
-/** Changes one of so many entries at each multiple of an interval. */
-function changeEvery(intervalMillis: number, entriesCount: number): Act {
+/** Changes one of the entries at each multiple of an interval, in turn. */
+function changeEvery(
+  intervalMillis: number,
+  entriesCount: number,
+): SourceScript {
   return (source, atMillis) => {
     if (atMillis % intervalMillis !== 0) return;
     source.change(
@@ -100,40 +103,43 @@
   };
 }
 
-test('calls do not grow with the entries that change', async t => {
-  // Symptom: 4.2 calls a second from each of 69 nodes while a fleet starts, and
-  // each wakes a process. Cause: a watch returned for every change of every
-  // entry, and the next one was sent at once.
+test('the number of calls does not grow with the number of changing entries', async t => {
+  // While a fleet started, each of 69 nodes made 4.2 calls per second, and each call
+  // woke a process: a watch returned for every change of every entry, and the next
+  // watch was sent immediately.
   for (const [intervalMillis, entriesCount] of [
     [500, 69],
     [100, 300],
     [20, 830],
   ] as const) {
-    const act = changeEvery(intervalMillis, entriesCount);
-    const {callsPerSecond, worstDelayMillis} = await replay(60, 2500, act);
-    t.true(callsPerSecond <= 0.53, `${String(callsPerSecond)} calls a second`);
+    const script = changeEvery(intervalMillis, entriesCount);
+    const {callsPerSecond, worstDelayMillis} = await replay(60, 2500, script);
+    t.true(
+      callsPerSecond <= 0.53,
+      `${String(callsPerSecond)} calls per second`,
+    );
     t.true(worstDelayMillis <= 2100, `${String(worstDelayMillis)} ms`);
   }
 });
 
-test('a node at rest asks less than once in three seconds', async t => {
+test('an idle node makes less than one call in three seconds', async t => {
   const {callsPerSecond} = await replay(60, 2000, () => undefined);
-  t.true(callsPerSecond <= 0.34, `${String(callsPerSecond)} calls a second`);
+  t.true(callsPerSecond <= 0.34, `${String(callsPerSecond)} calls per second`);
 });
 
-test('a change after a quiet time is known at once', async t => {
+test('a change after an idle period is received immediately', async t => {
   const {worstDelayMillis} = await replay(30, 2000, changeEvery(6000, 5));
   t.true(worstDelayMillis <= 2 * STEP_MILLIS);
 });
 
-test('a shorter bound shortens the pause', async t => {
+test('a shorter bound shortens the batching pause', async t => {
   const {worstDelayMillis} = await replay(30, 2000, changeEvery(130, 69));
   t.true(worstDelayMillis <= 1600, `${String(worstDelayMillis)} ms`);
 });
 
-test('a source that refuses is asked about once a second', async t => {
-  // Symptom: with the store away for 9 s, a node makes 13 calls a second, each
-  // priced. Cause: both watches were sent again after 100 to 200 ms, for ever.
+test('a source that refuses calls is called about once per second', async t => {
+  // While the store was unavailable for 9 s, a node made 13 calls per second, each
+  // billed: both watches were retried after 100 to 200 ms without a backoff.
   const {callsPerSecond, reachedMillis} = await replay(
     20,
     2000,
@@ -142,39 +148,45 @@
       if (atMillis === 19_000) source.setState('well');
     },
   );
-  t.true(callsPerSecond <= 1.5, `${String(callsPerSecond)} calls a second`);
-  const backMillis = (reachedMillis.at(-1) ?? 0) - 19_000;
-  t.true(backMillis > 0 && backMillis <= 1200, `${String(backMillis)} ms`);
+  t.true(callsPerSecond <= 1.5, `${String(callsPerSecond)} calls per second`);
+  const recoveryMillis = (reachedMillis.at(-1) ?? 0) - 19_000;
+  t.true(
+    recoveryMillis > 0 && recoveryMillis <= 1200,
+    `${String(recoveryMillis)} ms`,
+  );
 });
 
-test('a silent source is noticed to be back in time', async t => {
+test('the recovery of a silent source is detected in time', async t => {
   const {reachedMillis} = await replay(20, 2000, (source, atMillis) => {
     if (atMillis === 1000) source.setState('silent');
     if (atMillis === 12_340) source.setState('well');
   });
-  const backMillis = (reachedMillis.at(-1) ?? 0) - 12_340;
-  t.true(backMillis > 0 && backMillis <= 1300, `${String(backMillis)} ms`);
+  const recoveryMillis = (reachedMillis.at(-1) ?? 0) - 12_340;
+  t.true(
+    recoveryMillis > 0 && recoveryMillis <= 1300,
+    `${String(recoveryMillis)} ms`,
+  );
 });
 
-test('changes are in force in time while the history is short', async t => {
-  const changed = changeEvery(130, 69);
+test('changes take effect in time while the history is compacted', async t => {
+  const changeEntries = changeEvery(130, 69);
   const {callsPerSecond, worstDelayMillis} = await replay(
     30,
     2500,
     (source, atMillis, peerPositions) => {
-      changed(source, atMillis, peerPositions);
+      changeEntries(source, atMillis, peerPositions);
       source.compact();
     },
   );
   t.true(worstDelayMillis <= 2100, `${String(worstDelayMillis)} ms`);
-  // A watch that is refused and a read in each pause.
-  t.true(callsPerSecond <= 1.1, `${String(callsPerSecond)} calls a second`);
+  // One rejected watch and one read per pause.
+  t.true(callsPerSecond <= 1.1, `${String(callsPerSecond)} calls per second`);
 });
 
-test('a watch that hears nothing is given up once other nodes know more', async t => {
-  // A version was in force 3.4 to 3.5 s late at five of nine nodes, and they
-  // refused requests for its route. Their watches began as the source dropped its
-  // history: they heard nothing, and were told so when their wait was over.
+test('a watch without changes is cancelled once other nodes report a later position', async t => {
+  // A version took effect 3.4 to 3.5 s late at five of nine nodes, which refused
+  // requests for its route. Their watches began while the source dropped its
+  // history, and reported the loss only when they timed out.
   const {worstDelayMillis, callsPerSecond} = await replay(
     30,
     2000,
@@ -183,18 +195,18 @@
       if (atMillis === 8600) source.change('op/config');
       if (atMillis === 8700) source.compact();
       if (atMillis === 8700) source.holdWatches(false);
-      // The others were told at once, and say so with their messages.
+      // The other nodes received the change and report it in their messages.
       if (atMillis >= 8700) {
         peerPositions.recordPeerPosition({epoch: 0, revision: 2});
       }
     },
   );
   t.true(worstDelayMillis <= 1000, `${String(worstDelayMillis)} ms`);
-  t.true(callsPerSecond <= 0.5, `${String(callsPerSecond)} calls a second`);
+  t.true(callsPerSecond <= 0.5, `${String(callsPerSecond)} calls per second`);
 });
 
-test('a first watch after a pause that hears nothing is over soon', async t => {
-  // The same where all nodes gather from one change and none is told.
+test('the first watch after a pause has a short timeout', async t => {
+  // As above, when all nodes batch changes at once and none receives the version.
   const {worstDelayMillis, callsPerSecond} = await replay(
     30,
     2000,
@@ -207,13 +219,13 @@
     },
   );
   t.true(worstDelayMillis <= 1900, `${String(worstDelayMillis)} ms`);
-  t.true(callsPerSecond <= 0.5, `${String(callsPerSecond)} calls a second`);
+  t.true(callsPerSecond <= 0.5, `${String(callsPerSecond)} calls per second`);
 });
 
-test('a revision that the source does not bear out costs one read in each pause', async t => {
-  // A node with a fault of its own, or of another fleet, could keep all others
-  // asking. Each pause of 1.5 s is followed by a short watch, one that is given up
-  // after 0.4 s, and a read.
+test('a reported revision that the source does not have costs one read per pause', async t => {
+  // A faulty node, or one of another fleet, could cause continuous calls from all
+  // other nodes. Each pause of 1.5 s is followed by a short watch, one that is
+  // cancelled after 0.4 s, and a read.
   const {callsPerSecond} = await replay(
     30,
     2000,
@@ -224,5 +236,5 @@
       });
     },
   );
-  t.true(callsPerSecond <= 3 / 2, `${String(callsPerSecond)} calls a second`);
+  t.true(callsPerSecond <= 3 / 2, `${String(callsPerSecond)} calls per second`);
 });
--- a/test/unit/connection/hop_transport.test.ts
+++ b/test/unit/connection/hop_transport.test.ts
@@ -10,10 +10,10 @@
 } from '../../fakes/hop_fixture.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
-test('many requests at once get their own answers', async t => {
-  const {send} = await createHopFixture(t, async arrival => {
-    const body = await arrival.fetchBody();
-    answerWith(arrival, `echo ${String(body)}`);
+test('concurrent requests get their own responses', async t => {
+  const {send} = await createHopFixture(t, async hop => {
+    const body = await hop.fetchBody();
+    answerWith(hop, `echo ${String(body)}`);
   });
   const names = Array.from({length: 50}, (_, index) => `n${String(index)}`);
   const ends = await Promise.all(
@@ -25,10 +25,10 @@
   );
 });
 
-test('a long body arrives whole, one beyond the bound does not', async t => {
-  const {send} = await createHopFixture(t, async arrival => {
-    const body = await arrival.fetchBody();
-    answerWith(arrival, String(body?.length));
+test('a long body arrives completely, and one beyond the limit is rejected', async t => {
+  const {send} = await createHopFixture(t, async hop => {
+    const body = await hop.fetchBody();
+    answerWith(hop, String(body?.length));
   });
   const sizes = [0, 65_536, 65_537, 400_000, MAX_BODY_BYTES + 1];
   for (const isRepeatable of [true, false]) {
@@ -45,88 +45,84 @@
   }
 });
 
-test('a request goes on after its connection was reset', async t => {
-  // Symptom: orders fail with an unknown outcome when connections between nodes
-  // are reset. Sequence: reset while the upstream works. Cause: the answer was
-  // tied to the connection.
-  let runsCount = 0;
-  const {send, link, replacedCount} = await createHopFixture(
-    t,
-    async arrival => {
-      await arrival.fetchBody();
-      runsCount += 1;
-      await sleep(150);
-      answerWith(arrival, 'done');
-    },
-  );
+test('a request is resumed after its connection was reset', async t => {
+  // Orders failed with an unknown outcome when a connection between nodes was reset
+  // while the upstream worked, because the response was tied to the connection.
+  let executionsCount = 0;
+  const {send, link, replacedCount} = await createHopFixture(t, async hop => {
+    await hop.fetchBody();
+    executionsCount += 1;
+    await sleep(150);
+    answerWith(hop, 'done');
+  });
   const {ended} = send(false);
-  await waitUntil('runs', () => runsCount === 1);
+  await waitUntil('running', () => executionsCount === 1);
   link.setDefaultMode('reset');
   link.setDefaultMode('open');
   t.is(startOf(await ended), 'done');
-  t.is(runsCount, 1);
+  t.is(executionsCount, 1);
   t.is(replacedCount(), 1);
 });
 
-test('an answer that was lost with its connection is sent again', async t => {
-  // Symptom: as above, with a connection that falls silent. Sequence: the
-  // answer is written on it and never arrives.
-  let runsCount = 0;
+test('a response that was lost with its connection is sent again', async t => {
+  // As above, with a silently dropped connection: the response is written on it and
+  // never arrives.
+  let executionsCount = 0;
   let isAnswered = false;
-  const {send, link} = await createHopFixture(t, async arrival => {
-    await arrival.fetchBody();
-    runsCount += 1;
+  const {send, link} = await createHopFixture(t, async hop => {
+    await hop.fetchBody();
+    executionsCount += 1;
     await waitUntil('silent', () => isAnswered);
-    answerWith(arrival, 'done');
+    answerWith(hop, 'done');
   });
   const {ended} = send(false);
-  await waitUntil('runs', () => runsCount === 1);
+  await waitUntil('running', () => executionsCount === 1);
   t.true(link.forgetOpenConnections() > 0);
   isAnswered = true;
   t.is(startOf(await ended), 'done');
-  t.is(runsCount, 1);
+  t.is(executionsCount, 1);
 });
 
-test('what a process had that has ended is not told as never run', async t => {
-  // Symptom: an order runs twice. Sequence: the process is killed with an order
-  // in progress and started again; the new one has not heard of it. Cause: only
-  // the process that received a request can tell that it has not.
-  let runsCount = 0;
-  const {send, link, listen} = await createHopFixture(t, async arrival => {
-    await arrival.fetchBody();
-    runsCount += 1;
-    await new Promise(resolve => arrival.cancel.onCancel(() => resolve(0)));
-    answerWith(arrival, 'cancelled');
+test('a request to a process that has ended is not reported as not run', async t => {
+  // An order ran twice: its process was killed and restarted while it was in
+  // progress, and the new process reported that it had not received the order. Only
+  // the process to which a request was sent can report that.
+  let executionsCount = 0;
+  const {send, link, listen} = await createHopFixture(t, async hop => {
+    await hop.fetchBody();
+    executionsCount += 1;
+    await new Promise(resolve => hop.cancel.onCancel(() => resolve(0)));
+    answerWith(hop, 'cancelled');
   });
   const {ended} = send(false);
-  await waitUntil('runs', () => runsCount === 1);
+  await waitUntil('running', () => executionsCount === 1);
   const second = await listen('second');
   link.retarget(second.port);
   link.setDefaultMode('reset');
   link.setDefaultMode('open');
   const end = await ended;
   t.is(end.kind, 'lost');
-  t.is(runsCount, 1);
+  t.is(executionsCount, 1);
   await second.close();
 });
 
-test('a request that never arrived is proven not run', async t => {
-  let runsCount = 0;
-  const {send, link} = await createHopFixture(t, arrival => {
-    runsCount += 1;
-    answerWith(arrival, 'done');
+test('a request that never arrived is reported as not run', async t => {
+  let executionsCount = 0;
+  const {send, link} = await createHopFixture(t, hop => {
+    executionsCount += 1;
+    answerWith(hop, 'done');
     return Promise.resolve();
   });
   t.is(startOf(await send(true).ended), 'done');
   link.forgetOpenConnections();
   t.is(startOf(await send(true).ended), 'not-run silent');
-  t.is(runsCount, 1);
+  t.is(executionsCount, 1);
 });
 
-test('a body that is held back is not sent while the request waits', async t => {
-  const {send, link} = await createHopFixture(t, async arrival => {
-    await new Promise(resolve => arrival.cancel.onCancel(() => resolve(0)));
-    answerWith(arrival, 'cancelled');
+test('a deferred body is not sent while the request waits', async t => {
+  const {send, link} = await createHopFixture(t, async hop => {
+    await new Promise(resolve => hop.cancel.onCancel(() => resolve(0)));
+    answerWith(hop, 'cancelled');
   });
   const {ended, cancel} = send(false, Buffer.from('order'));
   await waitUntil('sent', () => link.openConnectionsCount() > 0);
@@ -134,20 +130,20 @@
   t.is(startOf(await ended), 'not-run cancelled');
 });
 
-test('a sender that leaves cancels the work and keeps the connection', async t => {
+test('cancelling a request cancels the work and keeps the connection', async t => {
   let cancelledCount = 0;
-  let runsCount = 0;
-  const {send, link, listener} = await createHopFixture(t, async arrival => {
-    await arrival.fetchBody();
-    runsCount += 1;
-    if (runsCount === 1) {
-      await new Promise(resolve => arrival.cancel.onCancel(() => resolve(0)));
+  let executionsCount = 0;
+  const {send, link, listener} = await createHopFixture(t, async hop => {
+    await hop.fetchBody();
+    executionsCount += 1;
+    if (executionsCount === 1) {
+      await new Promise(resolve => hop.cancel.onCancel(() => resolve(0)));
       cancelledCount += 1;
     }
-    answerWith(arrival, 'done');
+    answerWith(hop, 'done');
   });
   const {ended, cancel} = send(true);
-  await waitUntil('runs', () => runsCount === 1);
+  await waitUntil('running', () => executionsCount === 1);
   cancel();
   t.is(startOf(await ended), 'lost cancelled');
   await waitUntil('cancelled', () => cancelledCount === 1);
@@ -157,18 +153,18 @@
   t.is(listener.busyCount, 0);
 });
 
-test('work whose sender never comes back is cancelled', async t => {
+test('work is cancelled if its sender does not reconnect', async t => {
   let cancelledCount = 0;
-  let runsCount = 0;
-  const {send, link} = await createHopFixture(t, async arrival => {
-    await arrival.fetchBody();
-    runsCount += 1;
-    await new Promise(resolve => arrival.cancel.onCancel(() => resolve(0)));
+  let executionsCount = 0;
+  const {send, link} = await createHopFixture(t, async hop => {
+    await hop.fetchBody();
+    executionsCount += 1;
+    await new Promise(resolve => hop.cancel.onCancel(() => resolve(0)));
     cancelledCount += 1;
-    answerWith(arrival, 'cancelled');
+    answerWith(hop, 'cancelled');
   });
   const {ended, cancel} = send(true);
-  await waitUntil('runs', () => runsCount === 1);
+  await waitUntil('running', () => executionsCount === 1);
   await link.setAccepting(false);
   link.setDefaultMode('reset');
   t.is(startOf(await ended), 'lost connection-lost');
@@ -176,32 +172,32 @@
   await waitUntil('cancelled', () => cancelledCount === 1);
 });
 
-test('a node that can be reached by nobody costs what may be repeated', async t => {
-  let runsCount = 0;
-  const {send, link} = await createHopFixture(t, async arrival => {
-    await arrival.fetchBody();
-    runsCount += 1;
+test('an unreachable node fails only requests that may be repeated', async t => {
+  let executionsCount = 0;
+  const {send, link} = await createHopFixture(t, async hop => {
+    await hop.fetchBody();
+    executionsCount += 1;
     await sleep(1500);
-    answerWith(arrival, 'done');
+    answerWith(hop, 'done');
   });
-  const lookup = send(true);
+  const read = send(true);
   const order = send(false);
-  await waitUntil('runs', () => runsCount === 2);
+  await waitUntil('running', () => executionsCount === 2);
   link.setMode(ANY_SOURCE, 'silent');
-  t.is(startOf(await lookup.ended), 'lost silent');
+  t.is(startOf(await read.ended), 'lost silent');
   link.setMode(ANY_SOURCE, 'open');
-  // Both ends saw nothing of the cut but silence, so the order goes on.
+  // Neither end saw its connection close, so the order is resumed.
   t.is(startOf(await order.ended), 'done');
-  t.is(runsCount, 2);
+  t.is(executionsCount, 2);
 });
 
-test('the rest of a long answer waits for its reader', async t => {
+test('the remaining body of a long response waits for its reader', async t => {
   const CHUNK = Buffer.alloc(65_536, 7);
   const CHUNKS_COUNT = 64;
   let producedCount = 0;
-  const {send} = await createHopFixture(t, arrival => {
+  const {send} = await createHopFixture(t, hop => {
     const rest = Readable.from(produce(), {objectMode: false});
-    answerWith(arrival, 'start', rest);
+    answerWith(hop, 'start', rest);
     return Promise.resolve();
   });
   function* produce() {
@@ -217,10 +213,10 @@
   t.is(bytes, CHUNKS_COUNT * CHUNK.length);
 });
 
-test('a rest that breaks off fails instead of ending', async t => {
-  const {send} = await createHopFixture(t, arrival => {
+test('an aborted response body fails instead of ending', async t => {
+  const {send} = await createHopFixture(t, hop => {
     const rest = new Readable({read: () => undefined});
-    answerWith(arrival, 'start', rest);
+    answerWith(hop, 'start', rest);
     rest.push('more');
     setTimeout(() => rest.destroy(), 50);
     return Promise.resolve();
@@ -231,18 +227,17 @@
     async () => {
       for await (const chunk of rest ?? []) void chunk;
     },
-    {message: /broke off/},
+    {message: /response body was aborted: the upstream response is incomplete/},
   );
 });
 
-test('a listener that closes loses no request on its way', async t => {
-  // Symptom: reads fail with an unknown outcome beside planned restarts.
-  // Sequence: a node ends its idle connections as a request is on its way; it
-  // reads the request, and its answer cannot be sent any more. Cause: only the
-  // sender of requests knows that none is on its way.
-  const {send, link, listener} = await createHopFixture(t, async arrival => {
-    await arrival.fetchBody();
-    answerWith(arrival, 'done');
+test('closing a listener loses no request in flight', async t => {
+  // Reads failed with an unknown outcome during planned restarts: a node closed an
+  // idle connection while a request was in flight, read the request, and could not
+  // send its response. Only the sender can determine that none is in flight.
+  const {send, link, listener} = await createHopFixture(t, async hop => {
+    await hop.fetchBody();
+    answerWith(hop, 'done');
   });
   const ends: string[] = [];
   let closed: Promise<void> | undefined;
@@ -253,7 +248,7 @@
       closed = listener.close();
     }
     for (const {ended} of sent) ends.push(startOf(await ended));
-    // Idle for a moment, so that the close meets connections in either state.
+    // Idle briefly, so that the close occurs on busy and on idle connections.
     if (round % 2 === 0) await sleep(1);
   }
   await closed;
--- a/test/unit/connection/http_listener.test.ts
+++ b/test/unit/connection/http_listener.test.ts
@@ -6,11 +6,10 @@
 import {recordReadRequests} from '../../fakes/read_requests.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
-test('nothing behind an answer that ends its connection is handled', async t => {
-  // A request was passed on and ran for nobody: the answer before it had already
-  // been written as the last one of the connection, and waited for a third one,
-  // still before it, to be sent.
-  const read = recordReadRequests(t);
+test('requests after the one whose response closes the connection are not handled', async t => {
+  // The closing response of a connection waits until earlier responses are sent. A
+  // request that is read meanwhile can get no response and must not be forwarded.
+  const readRequests = recordReadRequests(t);
   const exchanges: HttpExchange[] = [];
   const listener = await openHttpListener({
     endpoint: {address: '127.0.0.1', port: 0},
@@ -29,20 +28,20 @@
   socket.on('data', chunk => {
     received += chunk.toString('latin1');
   });
-  const ask = (path: string): void => {
+  const sendRequest = (path: string): void => {
     socket.write(`GET ${path} HTTP/1.1\r\nhost: a\r\n\r\n`);
   };
-  ask('/1');
-  ask('/2');
-  await waitUntil('two read', () => exchanges.length === 2);
+  sendRequest('/1');
+  sendRequest('/2');
+  await waitUntil('two requests read', () => exchanges.length === 2);
   const [first, second] = exchanges;
   t.false(first!.isNewestOnConnection());
   t.true(second!.isNewestOnConnection());
   second!.ignoreFurtherRequests();
   second!.response.writeHead(200, {connection: 'close', 'content-length': 0});
   second!.response.end();
-  ask('/3');
-  await waitUntil('third read', () => read.length === 3);
+  sendRequest('/3');
+  await waitUntil('third request read', () => readRequests.length === 3);
   first!.response.writeHead(200, {'content-length': 0});
   first!.response.end();
   await waitUntil('closed', () => socket.closed);
@@ -54,9 +53,9 @@
   t.is(listener.busyCount, 0);
 });
 
-test('a request that the system has accepted is handled though the listener closes', async t => {
-  // Clients saw their connection reset beside a planned restart, for a request
-  // that nobody had read: it was in the queue of a listener that closed.
+test('a request in the accept backlog is handled although the listener closes', async t => {
+  // During a planned restart, closing the listener reset connections that were
+  // still in its backlog, and their requests were never read.
   const listener = await openHttpListener({
     endpoint: {address: '127.0.0.1', port: 0},
     handle: ({response}) => {
@@ -76,7 +75,7 @@
   socket.on('error', error => {
     failure = error;
   });
-  // The system has accepted it, and the listener has had no turn since.
+  // The connection is in the backlog; the listener has not accepted it yet.
   await new Promise(process.nextTick);
   await listener.close();
   await waitUntil('closed', () => socket.closed);
--- a/test/unit/connection/peer_monitor.test.ts
+++ b/test/unit/connection/peer_monitor.test.ts
@@ -15,13 +15,10 @@
   waitingSinceMillis: number | undefined;
 }
 
-/** A watch over one node whose replies a test chooses. */
-function createFixture(
-  t: ExecutionContext,
-  reply: (asking: number) => boolean,
-) {
+/** A monitor of one node whose probe replies are given by the test. */
+function createFixture(t: ExecutionContext, reply: (probe: number) => boolean) {
   let now = 1000;
-  let asksCount = 0;
+  let probesCount = 0;
   let pingsCount = 0;
   const events: string[] = [];
   const connection: FakeConnection = {
@@ -31,7 +28,7 @@
       pingsCount += 1;
     },
   };
-  const watch = createPeerMonitor({
+  const monitor = createPeerMonitor({
     nowMillis: () => now,
     onPeerLost: (peer, hopsCount) => {
       events.push(`lost ${peer.address} ${String(hopsCount)}`);
@@ -40,14 +37,14 @@
       events.push('found');
     },
   });
-  t.teardown(watch.dispose);
-  const signs: PeerLiveness = watch.add({
+  t.teardown(monitor.dispose);
+  const liveness: PeerLiveness = monitor.add({
     endpoint: ENDPOINT,
     detachedHopsCount: 0,
     connections: () => [connection],
     probe: () => {
-      asksCount += 1;
-      return Promise.resolve(reply(asksCount));
+      probesCount += 1;
+      return Promise.resolve(reply(probesCount));
     },
     replaceSilentConnections: sinceMillis => {
       if (connection.lastReceivedMillis >= sinceMillis) return;
@@ -55,23 +52,23 @@
       connection.waitingSinceMillis = undefined;
     },
     failResendableHops: () => {
-      events.push('given up');
+      events.push('failed hops');
       return 1;
     },
   });
   return {
-    watch,
-    signs,
+    monitor,
+    liveness,
     connection,
     events,
-    send: () => {
+    startRequest: () => {
       connection.waitingSinceMillis = now;
     },
-    hear: () => {
+    receiveData: () => {
       connection.lastReceivedMillis = now;
-      signs.recordActivity();
+      liveness.recordActivity();
     },
-    asksCount: () => asksCount,
+    probesCount: () => probesCount,
     pingsCount: () => pingsCount,
     advance: (millis: number) => {
       now += millis;
@@ -79,98 +76,101 @@
   };
 }
 
-/** Adds a node that was heard and does not reply any more. */
-function addWitness(watch: PeerMonitor): () => number {
+/** Adds a node that was active before and does not reply to probes. */
+function addReferencePeer(monitor: PeerMonitor): () => number {
   const endpoint = {address: 'q', port: 1};
-  let asksCount = 0;
-  const signs = watch.add({
+  let probesCount = 0;
+  const liveness = monitor.add({
     endpoint,
     detachedHopsCount: 0,
     connections: () => [],
     probe: () => {
-      asksCount += 1;
+      probesCount += 1;
       return Promise.resolve(false);
     },
     replaceSilentConnections: () => undefined,
     failResendableHops: () => 0,
   });
-  signs.recordActivity();
-  return () => asksCount;
+  liveness.recordActivity();
+  return () => probesCount;
 }
 
-test('a node that does not reply loses what may be sent elsewhere', async t => {
-  // Symptom: during a partition every request to the other zone waits for its
-  // deadline. Kept connections carry it, and nothing comes back. Cause: silence
-  // was taken for slowness.
-  const {send, events, advance} = createFixture(t, () => false);
-  send();
+test('requests that may be resent are failed if the node does not reply', async t => {
+  // During a partition, every request to the other zone waited for its deadline: it
+  // was sent on an open connection, and silence was not distinguished from slowness.
+  const {startRequest, events, advance} = createFixture(t, () => false);
+  startRequest();
   advance(500);
-  await waitUntil('given up', () => events.length === 2);
-  t.deepEqual(events, ['given up', 'lost p 1']);
+  await waitUntil('failed hops', () => events.length === 2);
+  t.deepEqual(events, ['failed hops', 'lost p 1']);
 });
 
-test('a node that hears nobody blames itself first', async t => {
-  // Symptom: a slow node answers its clients with failures, and sends their
-  // requests twice. It took its own delay for the silence of all peers.
-  const {watch, signs, send, events, advance} = createFixture(t, () => false);
-  const witnessAsksCount = addWitness(watch);
-  send();
+test('a node that gets no reply from any peer assumes a local fault first', async t => {
+  // A slow node attributed its own delay to its peers: it responded to its clients
+  // with failures and sent their requests twice.
+  const {monitor, liveness, startRequest, events, advance} = createFixture(
+    t,
+    () => false,
+  );
+  const referenceProbesCount = addReferencePeer(monitor);
+  startRequest();
   advance(500);
-  await waitUntil('asked a witness', () => witnessAsksCount() === 1);
+  await waitUntil('reference peer probed', () => referenceProbesCount() === 1);
   t.deepEqual(events, []);
-  t.false(signs.isLost);
+  t.false(liveness.isLost);
   advance(1000);
-  await waitUntil('lost', () => events.includes('given up'));
+  await waitUntil('lost', () => events.includes('failed hops'));
 });
 
-test('a lost node is asked until it replies, and avoided meanwhile', async t => {
-  // Symptom: long after a partition began, every other request still waits for
-  // a peer behind it. Cause: requests themselves were sent to try the peer.
-  const {signs, send, events, advance} = createFixture(
+test('a lost node is probed until it replies and is marked as lost meanwhile', async t => {
+  // Long after a partition began, every other request still waited for a peer behind
+  // it, because requests themselves were used as probes.
+  const {liveness, startRequest, events, advance} = createFixture(
     t,
-    asking => asking >= 3,
+    probe => probe >= 3,
   );
-  send();
+  startRequest();
   advance(500);
-  await waitUntil('lost', () => events.includes('given up'));
-  t.true(signs.isLost);
+  await waitUntil('lost', () => events.includes('failed hops'));
+  t.true(liveness.isLost);
   advance(1000);
-  await waitUntil('asked again', () => {
+  await waitUntil('found', () => {
     advance(50);
     return events.includes('found');
   });
-  t.false(signs.isLost);
+  t.false(liveness.isLost);
 });
 
-test('requests of a silent connection go on if the node replies', async t => {
-  // Symptom: an order hangs on a connection that something between the nodes
-  // has forgotten, while new connections work.
-  const {send, events, advance} = createFixture(t, () => true);
-  send();
+test('requests of a silent connection are resumed if the node replies', async t => {
+  // A request hung on a connection that a device between the nodes had dropped
+  // silently, while new connections worked.
+  const {startRequest, events, advance} = createFixture(t, () => true);
+  startRequest();
   advance(500);
   await waitUntil('replaced', () => events.length > 0);
   t.deepEqual(events, ['replaced']);
 });
 
-test('a slow upstream is asked for a sign of life and left alone', async t => {
-  const {send, hear, advance, asksCount, pingsCount} = createFixture(
-    t,
-    () => true,
-  );
-  send();
+test('a slow upstream is pinged and its connection is kept', async t => {
+  const {startRequest, receiveData, advance, probesCount, pingsCount} =
+    createFixture(t, () => true);
+  startRequest();
   for (let round = 1; round <= 5; round += 1) {
     advance(200);
-    await waitUntil('asked for a sign', () => pingsCount() === round);
-    hear();
+    await waitUntil('pinged', () => pingsCount() === round);
+    receiveData();
   }
-  t.is(asksCount(), 0);
+  t.is(probesCount(), 0);
 });
 
-test('a connection without requests may be silent', async t => {
-  const {advance, asksCount, pingsCount, send} = createFixture(t, () => true);
+test('a connection without requests is not pinged', async t => {
+  const {advance, probesCount, pingsCount, startRequest} = createFixture(
+    t,
+    () => true,
+  );
   advance(10_000);
-  send();
+  startRequest();
   advance(200);
-  await waitUntil('asked for a sign', () => pingsCount() === 1);
-  t.is(asksCount(), 0);
+  await waitUntil('pinged', () => pingsCount() === 1);
+  t.is(probesCount(), 0);
 });
--- a/test/unit/connection/peer_query_client.test.ts
+++ b/test/unit/connection/peer_query_client.test.ts
@@ -10,14 +10,14 @@
 
 const ADDRESS = '127.0.0.1';
 
-type Answer = (
+type QueryHandler = (
   frame: Frame,
   send: (kind: number, channelId: number, payload: Buffer) => void,
   socket: Socket,
 ) => void;
 
-/** A node that answers questions as a test says, and counts connections. */
-async function startPeer(t: ExecutionContext, answer: Answer) {
+/** A node that responds with the given handler and counts its connections. */
+async function startPeer(t: ExecutionContext, handleQuery: QueryHandler) {
   const sockets = new Set<Socket>();
   let connectionsCount = 0;
   const server = createServer(socket => {
@@ -26,7 +26,7 @@
     const connection = acceptFrameConnection(socket, {
       onDataReceived: () => undefined,
       onFrame: frame => {
-        answer(
+        handleQuery(
           frame,
           (kind, channelId, payload) => {
             connection.send(kind as typeof FRAME_KIND.pong, channelId, payload);
@@ -53,50 +53,50 @@
   };
 }
 
-function startLinks(t: ExecutionContext) {
-  const links = createPeerQueryClient({
+function startClient(t: ExecutionContext) {
+  const client = createPeerQueryClient({
     responseKind: FRAME_KIND.quotas,
     nowMillis: () => performance.now(),
   });
-  t.teardown(links.dispose);
-  return links;
+  t.teardown(client.dispose);
+  return client;
 }
 
-test('questions on one connection get their own answers, whatever their order', async t => {
-  const held: (() => void)[] = [];
+test('concurrent queries on one connection get their own responses in any order', async t => {
+  const pendingResponses: (() => void)[] = [];
   const peer = await startPeer(t, ({channelId, payload}, send) => {
-    held.unshift(() => {
+    pendingResponses.unshift(() => {
       send(FRAME_KIND.quotas, channelId, payload);
     });
-    if (held.length < 3) return;
-    for (const release of held) release();
+    if (pendingResponses.length < 3) return;
+    for (const sendPending of pendingResponses) sendPending();
   });
-  const links = startLinks(t);
-  const texts = ['a', 'b', 'c'];
-  const answers = await Promise.all(
-    texts.map(text => links.query(peer.endpoint, Buffer.from(text))),
+  const client = startClient(t);
+  const payloads = ['a', 'b', 'c'];
+  const responses = await Promise.all(
+    payloads.map(payload => client.query(peer.endpoint, Buffer.from(payload))),
   );
-  t.deepEqual(answers.map(String), texts);
+  t.deepEqual(responses.map(String), payloads);
   t.is(peer.connectionsCount, 1);
 });
 
-test('a node that has ended is told apart from one that is silent', async t => {
-  const links = startLinks(t);
-  const question = Buffer.from('?');
+test('a closed connection is distinguished from a response timeout', async t => {
+  const client = startClient(t);
+  const query = Buffer.from('?');
   const silent = await startPeer(t, () => undefined);
   const ending = await startPeer(t, (_frame, _send, socket) => {
     socket.destroy();
   });
   const refused = {address: ADDRESS, port: 1};
-  t.is(await links.query(silent.endpoint, question), 'silent');
-  t.is(await links.query(ending.endpoint, question), 'closed');
-  t.is(await links.query(refused, question), 'closed');
+  t.is(await client.query(silent.endpoint, query), 'silent');
+  t.is(await client.query(ending.endpoint, query), 'closed');
+  t.is(await client.query(refused, query), 'closed');
 });
 
-test('an answer of another kind, as of an earlier version, is none', async t => {
-  const links = startLinks(t);
+test('a response of another frame kind, as from an earlier version, is rejected', async t => {
+  const client = startClient(t);
   const peer = await startPeer(t, ({channelId}, send) => {
     send(FRAME_KIND.pong, channelId, Buffer.from('[]'));
   });
-  t.is(await links.query(peer.endpoint, Buffer.from('?')), 'closed');
+  t.is(await client.query(peer.endpoint, Buffer.from('?')), 'closed');
 });
--- a/test/unit/connection/peer_relay.test.ts
+++ b/test/unit/connection/peer_relay.test.ts
@@ -10,14 +10,14 @@
 
 const POSITION = {epoch: 1, revision: 10};
 
-/** Two nodes of a zone; the first one's documents are what it is given. */
-function createFixture(answerOf: (question: Buffer) => Buffer | undefined) {
+/** Two nodes of a zone whose queries get the given response. */
+function createFixture(respond: (query: Buffer) => Buffer | undefined) {
   const hosts: readonly KnownUpstream[] = ['a', 'b'].map(hostKey => ({
     entry: upstreamEntry({id: hostKey, hostKey}),
     coldUntilMillis: 0,
     firstSeenMillis: 0,
   }));
-  const relayOf = (ownHostKey: string) =>
+  const createRelay = (ownHostKey: string) =>
     createPeerRelay({
       selection: createWatcherSelection({
         hosts: () => hosts,
@@ -26,69 +26,71 @@
         nowMillis: () => 0,
       }),
       documents: createDocumentCache(),
-      send: (_entry, question) => Promise.resolve(answerOf(question)),
+      send: (_entry, query) => Promise.resolve(respond(query)),
     });
-  return {relayOf};
+  return {createRelay};
 }
 
-/** The node of both that is asked, and the one that asks. */
-async function pairOf(answerOf: (question: Buffer) => Buffer | undefined) {
-  const {relayOf} = createFixture(answerOf);
-  const [first, second] = [relayOf('a'), relayOf('b')];
-  const isFirstAsking = (await first.poll(POSITION, false)) !== 'watch';
-  return isFirstAsking
-    ? {asking: relayOf('a'), asked: second}
-    : {asking: relayOf('b'), asked: first};
+/** The node that polls, and the node that is polled. */
+async function createPair(respond: (query: Buffer) => Buffer | undefined) {
+  const {createRelay} = createFixture(respond);
+  const [first, second] = [createRelay('a'), createRelay('b')];
+  const isFirstPolling = (await first.poll(POSITION, false)) !== 'watch';
+  return isFirstPolling
+    ? {pollingNode: createRelay('a'), polledNode: second}
+    : {pollingNode: createRelay('b'), polledNode: first};
 }
 
-test('one of two nodes watches, and tells the other what is later', async t => {
+test('one of two nodes watches and relays later changes to the other', async t => {
   const changes = [{key: 'servers/1', revision: 12, text: 'one'}];
-  const held: {answer?: Buffer | undefined} = {};
-  const {asking, asked} = await pairOf(() => held.answer);
-  asked.recordRead({documents: [], position: POSITION});
-  asked.recordChanges({
+  const latest: {response?: Buffer | undefined} = {};
+  const {pollingNode, polledNode} = await createPair(() => latest.response);
+  polledNode.recordRead({documents: [], position: POSITION});
+  polledNode.recordChanges({
     documents: changes,
     position: {epoch: 1, revision: 12},
   });
-  held.answer = asked.answerQuery(encodeRelayQuery(POSITION));
-  t.is(await asking.poll(POSITION, false), 'failed');
-  asked.setWatching(true);
-  held.answer = asked.answerQuery(encodeRelayQuery(POSITION));
-  const {asking: another} = await pairOf(() => held.answer);
-  t.deepEqual(await another.poll(POSITION, false), {
+  latest.response = polledNode.answerQuery(encodeRelayQuery(POSITION));
+  t.is(await pollingNode.poll(POSITION, false), 'failed');
+  polledNode.setWatching(true);
+  latest.response = polledNode.answerQuery(encodeRelayQuery(POSITION));
+  const {pollingNode: otherPollingNode} = await createPair(
+    () => latest.response,
+  );
+  t.deepEqual(await otherPollingNode.poll(POSITION, false), {
     documents: changes,
     position: {epoch: 1, revision: 12},
   });
 });
 
-test('who cannot be told all has to read', async t => {
-  const held: {answer?: Buffer | undefined} = {};
-  const {asking, asked} = await pairOf(() => held.answer);
-  asked.recordRead({documents: [], position: POSITION});
-  asked.setWatching(true);
-  const before = {epoch: 1, revision: 9};
-  held.answer = asked.answerQuery(encodeRelayQuery(before));
-  t.is(await asking.poll(before, false), 'read');
+test('a node that cannot get all changes has to read', async t => {
+  const latest: {response?: Buffer | undefined} = {};
+  const {pollingNode, polledNode} = await createPair(() => latest.response);
+  polledNode.recordRead({documents: [], position: POSITION});
+  polledNode.setWatching(true);
+  const outdatedPosition = {epoch: 1, revision: 9};
+  latest.response = polledNode.answerQuery(encodeRelayQuery(outdatedPosition));
+  t.is(await pollingNode.poll(outdatedPosition, false), 'read');
 });
 
-test('documents that no message can hold are read', async t => {
-  // Requests between two nodes were cut: an answer with a configuration of more than
-  // two megabytes was no frame to its receiver, which closed the connection.
-  const held: {answer?: Buffer | undefined} = {};
-  const {asking, asked} = await pairOf(() => held.answer);
+test('a node has to read documents that exceed the maximum response size', async t => {
+  // A response with a configuration of more than two megabytes exceeded the frame
+  // limit: its receiver closed the connection, and all requests on it failed.
+  const latest: {response?: Buffer | undefined} = {};
+  const {pollingNode, polledNode} = await createPair(() => latest.response);
   const text = '"'.repeat(1_200_000);
-  asked.recordRead({documents: [], position: POSITION});
-  asked.recordChanges({
+  polledNode.recordRead({documents: [], position: POSITION});
+  polledNode.recordChanges({
     documents: [{key: 'op/config', revision: 11, text}],
     position: {epoch: 1, revision: 11},
   });
-  asked.setWatching(true);
-  held.answer = asked.answerQuery(encodeRelayQuery(POSITION));
+  polledNode.setWatching(true);
+  latest.response = polledNode.answerQuery(encodeRelayQuery(POSITION));
   const reader = createFrameReader(() => undefined);
   t.notThrows(() => {
     reader.push(
-      encodeFrame(FRAME_KIND.changes, 0, [held.answer ?? Buffer.alloc(0)]),
+      encodeFrame(FRAME_KIND.changes, 0, [latest.response ?? Buffer.alloc(0)]),
     );
   });
-  t.is(await asking.poll(POSITION, false), 'read');
+  t.is(await pollingNode.poll(POSITION, false), 'read');
 });
--- a/test/unit/connection/peer_relay_load.test.ts
+++ b/test/unit/connection/peer_relay_load.test.ts
@@ -1,7 +1,7 @@
 /**
- * Replays of fleets whose nodes ask each other for what has changed: what the source
- * is asked, and how late each node learns, at rest, in a release, and while those
- * that watch for others are lost.
+ * Simulates fleets whose nodes relay changes to each other: number of calls to the
+ * source, and delay of changes at each node, when idle, during a release, and while
+ * watching nodes are lost.
  */
 import type {ExecutionContext} from 'ava';
 import test from 'ava';
@@ -29,27 +29,27 @@
   applyWithinMillis: 2000,
 };
 
-/** Time for first reads and opinions on who watches. */
+/** Time for the first reads and the selection of watching nodes. */
 const START_MILLIS = 6000;
 
-/** Calls that each node makes in a second, and the latest that one learned. */
-interface Measured {
+/** Calls per second of each node, and the longest delay of a change. */
+interface Measurement {
   callsPerSecond: number;
   worstDelayMillis: number;
 }
 
-/** Measures a fleet for so long after its start. */
+/** Measures a running fleet for a simulated time. */
 function measure(
   fleet: RelayFleet,
   millis: number,
   act: (atMillis: number) => void,
   nodes: readonly RelayNode[] = fleet.nodes,
-): Effect.Effect<Measured> {
+): Effect.Effect<Measurement> {
   return Effect.gen(function* () {
     const changedMillis = new Map<number, number>();
     const measured = {callsPerSecond: 0, worstDelayMillis: 0};
     let lastRevision = 0;
-    const look = (atMillis: number): void => {
+    const observe = (atMillis: number): void => {
       act(atMillis);
       const revision = fleet.nodes[0]?.source.revision ?? 0;
       for (let next = lastRevision + 1; next <= revision; next += 1) {
@@ -73,15 +73,17 @@
     };
     const callsBefore = fleet.callsCount();
     lastRevision = fleet.nodes[0]?.source.revision ?? 0;
-    yield* fleet.run(millis, look);
+    yield* fleet.run(millis, observe);
     const calls = fleet.callsCount() - callsBefore;
     measured.callsPerSecond = calls / fleet.nodes.length / (millis / 1000);
     return measured;
   });
 }
 
-/** Nodes that call the source while nothing changes. */
-function findWatching(fleet: RelayFleet): Effect.Effect<readonly RelayNode[]> {
+/** Nodes that call the source while no document changes. */
+function findWatchingNodes(
+  fleet: RelayFleet,
+): Effect.Effect<readonly RelayNode[]> {
   return Effect.gen(function* () {
     const before = fleet.nodes.map(({source}) => source.callsCount);
     yield* fleet.run(5000);
@@ -91,24 +93,24 @@
   });
 }
 
-function checkCalls(
+function assertMaxCalls(
   t: ExecutionContext,
-  {callsPerSecond}: Measured,
-  atMost: number,
+  {callsPerSecond}: Measurement,
+  maxCallsPerSecond: number,
 ): void {
-  const figure = `${callsPerSecond.toFixed(3)} calls a second`;
-  t.log(figure);
-  t.true(callsPerSecond <= atMost, figure);
+  const message = `${callsPerSecond.toFixed(3)} calls per second`;
+  t.log(message);
+  t.true(callsPerSecond <= maxCallsPerSecond, message);
 }
 
-function checkDelay(
+function assertMaxDelay(
   t: ExecutionContext,
-  {worstDelayMillis}: Measured,
-  atMostMillis: number,
+  {worstDelayMillis}: Measurement,
+  maxDelayMillis: number,
 ): void {
-  const figure = `${String(worstDelayMillis)} ms`;
-  t.log(figure);
-  t.true(worstDelayMillis <= atMostMillis, figure);
+  const message = `${String(worstDelayMillis)} ms`;
+  t.log(message);
+  t.true(worstDelayMillis <= maxDelayMillis, message);
 }
 
 for (const [name, options, callsPerSecond] of [
@@ -116,43 +118,43 @@
   ['31 nodes', SMALL, 0.1],
   ['13 nodes', SMALLEST, 0.25],
 ] as const) {
-  test(`${name}: few calls at rest and in a release, all told in time`, async t => {
-    // 718 calls of 31 nodes in 49 s cost more than all requests that were not
-    // served: half of them were told the same changes as the others.
+  test(`${name}: few calls when idle and in a release, and changes arrive in time`, async t => {
+    // 718 calls of 31 nodes in 49 s cost more than all requests that were not served,
+    // and half of them returned changes that other nodes had already received.
     await playRelayFleet(options, fleet =>
       Effect.gen(function* () {
         yield* fleet.run(START_MILLIS);
-        checkCalls(t, yield* measure(fleet, 20_000, () => undefined), 0.1);
+        assertMaxCalls(t, yield* measure(fleet, 20_000, () => undefined), 0.1);
         const release = yield* measure(fleet, 20_000, atMillis => {
           if (atMillis % 500 === 0) {
             fleet.change(`servers/${String(atMillis % 7)}`);
           }
         });
-        checkCalls(t, release, callsPerSecond);
-        checkDelay(t, release, options.applyWithinMillis);
+        assertMaxCalls(t, release, callsPerSecond);
+        assertMaxDelay(t, release, options.applyWithinMillis);
       }),
     );
   });
 }
 
-test('a change is told in time where nodes say nothing to each other', async t => {
+test('a change arrives in time if nodes exchange no other messages', async t => {
   await playRelayFleet({...SMALLEST, messagesPerSecond: 0}, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
       const measured = yield* measure(fleet, 20_000, atMillis => {
         if (atMillis % 400 === 0) fleet.change('servers/1');
       });
-      checkDelay(t, measured, SMALLEST.applyWithinMillis);
+      assertMaxDelay(t, measured, SMALLEST.applyWithinMillis);
     }),
   );
 });
 
-test('a change is told in time though all that watch are lost at once', async t => {
-  // Nodes that are told nothing watch themselves.
+test('a change arrives in time although all watching nodes are lost at once', async t => {
+  // Nodes that get no response to their polls watch the source themselves.
   await playRelayFleet(SMALLEST, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
-      const watching = yield* findWatching(fleet);
+      const watching = yield* findWatchingNodes(fleet);
       t.is(watching.length, 3);
       for (const node of watching) {
         node.isCutOff = true;
@@ -161,29 +163,29 @@
       const measured = yield* measure(fleet, 12_000, atMillis => {
         if (atMillis % 400 === 0) fleet.change('servers/1');
       });
-      checkDelay(t, measured, SMALLEST.applyWithinMillis);
+      assertMaxDelay(t, measured, SMALLEST.applyWithinMillis);
     }),
   );
 });
 
 for (const beforeMillis of [0, 400, 900]) {
-  test(`a node that watches and hears nothing holds its zone back from nothing: ${String(beforeMillis)} ms before`, async t => {
-    // Three nodes served by version 19 more than two seconds after version 23 was
-    // published. The node that watched for their zone had been cut off from the
-    // store without a word: its watch was open, it answered that it watched, and
-    // its read of the store after it had been told of more took two seconds to fail.
+  test(`a watching node that receives nothing does not delay its zone: ${String(beforeMillis)} ms before`, async t => {
+    // Three nodes served version 19 more than two seconds after version 23 was
+    // published. The watching node of their zone was silently disconnected from the
+    // store: its watch was open, it reported that it watched, and its read, made after
+    // other nodes reported a later position, took two seconds to fail.
     await playRelayFleet(SMALLEST, fleet =>
       Effect.gen(function* () {
         yield* fleet.run(START_MILLIS);
-        const watching = yield* findWatching(fleet);
-        const [silent] = watching;
-        // All that watch gather for a while after this.
+        const watching = yield* findWatchingNodes(fleet);
+        const [silentNode] = watching;
+        // After this, all watching nodes batch changes for a while.
         if (beforeMillis > 0) fleet.change('servers/1');
         yield* fleet.run(100);
-        silent?.source.setState('unheard');
+        silentNode?.source.setState('unheard');
         yield* fleet.run(Math.max(0, beforeMillis - 100));
         let isChanged = false;
-        const others = fleet.nodes.filter(node => node !== silent);
+        const others = fleet.nodes.filter(node => node !== silentNode);
         const measured = yield* measure(
           fleet,
           5000,
@@ -193,13 +195,13 @@
           },
           others,
         );
-        checkDelay(t, measured, SMALLEST.applyWithinMillis);
+        assertMaxDelay(t, measured, SMALLEST.applyWithinMillis);
       }),
     );
   });
 }
 
-test('a node that has lost the source is told by the others', async t => {
+test('a node that has lost the source receives changes from other nodes', async t => {
   await playRelayFleet(SMALL, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
@@ -210,15 +212,15 @@
       const measured = yield* measure(fleet, 12_000, atMillis => {
         if (atMillis % 400 === 0) fleet.change('servers/1');
       });
-      checkDelay(t, measured, SMALL.applyWithinMillis);
-      checkCalls(t, measured, 0.25);
+      assertMaxDelay(t, measured, SMALL.applyWithinMillis);
+      assertMaxCalls(t, measured, 0.25);
     }),
   );
 });
 
-test('a history that is lost is read by the nodes that watch alone', async t => {
-  // 20 nodes read all documents, in several calls each, where three had to: the
-  // node that watched for them had read, and could tell only what came after.
+test('only watching nodes read all documents after the history was lost', async t => {
+  // 20 nodes read all documents, in several calls each, where three had to: their
+  // watching node had read, and could relay only changes after its read.
   await playRelayFleet(SMALL, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
@@ -228,8 +230,8 @@
         fleet.compact();
         fleet.change(`servers/${String(atMillis + 1)}`);
       });
-      checkCalls(t, measured, 0.25);
-      checkDelay(t, measured, SMALL.applyWithinMillis);
+      assertMaxCalls(t, measured, 0.25);
+      assertMaxDelay(t, measured, SMALL.applyWithinMillis);
       yield* fleet.run(SMALL.applyWithinMillis);
       for (const {texts, source} of fleet.nodes) {
         t.deepEqual(texts, source.texts);
@@ -238,7 +240,7 @@
   );
 });
 
-test('after a return from a copy all nodes know what the source holds', async t => {
+test('after a restore from a copy, all nodes have the documents of the source', async t => {
   await playRelayFleet(SMALL, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
@@ -248,13 +250,13 @@
           if (atMillis % 200 !== 0) return;
           fleet.change(`servers/${String(drill)}-${String(atMillis % 1000)}`);
         });
-        // One node does not see the store again, and tells what it knew.
-        const blind = fleet.nodes[drill * 5];
-        blind?.source.setState('silent');
+        // One node cannot reach the restored store and relays its old documents.
+        const disconnectedNode = fleet.nodes[drill * 5];
+        disconnectedNode?.source.setState('silent');
         restore();
         for (let count = 0; count < 3; count += 1) fleet.change('op/config');
         yield* fleet.run(4000);
-        blind?.source.setState('well');
+        disconnectedNode?.source.setState('well');
         yield* fleet.run(4000);
         for (const {texts, source} of fleet.nodes) {
           t.deepEqual(texts, source.texts);
@@ -264,21 +266,21 @@
   );
 });
 
-test('a node that is behind what another one can tell reads all', async t => {
+test('a node that is too far behind for relayed changes reads all documents', async t => {
   await playRelayFleet(SMALLEST, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
-      const [late] = fleet.nodes;
-      if (late === undefined) return;
-      late.isCutOff = true;
-      late.source.setState('refusing');
+      const [laggingNode] = fleet.nodes;
+      if (laggingNode === undefined) return;
+      laggingNode.isCutOff = true;
+      laggingNode.source.setState('refusing');
       for (let count = 0; count < 600; count += 1) fleet.change('servers/1');
       fleet.change('op/config');
       yield* fleet.run(8000);
-      late.isCutOff = false;
-      late.source.setState('well');
+      laggingNode.isCutOff = false;
+      laggingNode.source.setState('well');
       yield* fleet.run(4000);
-      t.deepEqual(late.texts, late.source.texts);
+      t.deepEqual(laggingNode.texts, laggingNode.source.texts);
     }),
   );
 });
--- a/test/unit/connection/raw_headers.test.ts
+++ b/test/unit/connection/raw_headers.test.ts
@@ -4,7 +4,7 @@
   withoutConnectionHeaders,
 } from '../../../src/connection/raw_headers.js';
 
-const ANSWER = [
+const RESPONSE_HEADERS = [
   'Attempt-Id',
   'a1',
   'Connection',
@@ -15,8 +15,8 @@
   '600',
 ];
 
-test('an answer goes to another node without what its connection said', t => {
-  t.deepEqual(withoutConnectionHeaders(ANSWER), [
+test('connection headers are removed from a response to another node', t => {
+  t.deepEqual(withoutConnectionHeaders(RESPONSE_HEADERS), [
     'Attempt-Id',
     'a1',
     'Content-Length',
@@ -24,8 +24,14 @@
   ]);
 });
 
-test('what a connection names is its own, and frames are made anew', t => {
-  const named = ['Connection', 'X-Hop, close', 'X-Hop', '1', ...ANSWER];
-  t.deepEqual(forwardedHeaders(named, new Set(['attempt-id'])), []);
-  t.deepEqual(withoutConnectionHeaders(named.slice(0, 4)), []);
+test('headers listed in Connection and framing headers are not forwarded', t => {
+  const headers = [
+    'Connection',
+    'X-Hop, close',
+    'X-Hop',
+    '1',
+    ...RESPONSE_HEADERS,
+  ];
+  t.deepEqual(forwardedHeaders(headers, new Set(['attempt-id'])), []);
+  t.deepEqual(withoutConnectionHeaders(headers.slice(0, 4)), []);
 });
--- a/test/unit/connection/request_fingerprint.test.ts
+++ b/test/unit/connection/request_fingerprint.test.ts
@@ -10,16 +10,16 @@
   body: Buffer.from('body'),
 };
 
-test('an attempt made again has the same fingerprints', t => {
-  const again = {
+test('a retried attempt has the same fingerprints', t => {
+  const retried = {
     ...REQUEST,
     headers: ['attempt-id', 'second', 'host', 'shop.example'],
     body: Buffer.from('body'),
   };
-  t.deepEqual(computeFingerprints(again), computeFingerprints(REQUEST));
+  t.deepEqual(computeFingerprints(retried), computeFingerprints(REQUEST));
 });
 
-test('method, host, target and body make another request', t => {
+test('a different method, host, target or body changes the fingerprint', t => {
   const others: readonly Partial<FingerprintedRequest>[] = [
     {method: 'PUT'},
     {headers: ['host', 'other.example']},
@@ -32,7 +32,7 @@
   t.is(new Set(contents).size, contents.length);
 });
 
-test('the caller is part of one of both fingerprints', t => {
+test('only one of the two fingerprints covers the caller', t => {
   const fromShop = computeFingerprints(REQUEST);
   const fromDesk = computeFingerprints({...REQUEST, callerService: 'desk'});
   t.is(fromDesk.content, fromShop.content);
--- a/test/unit/connection/unfinished_response.test.ts
+++ b/test/unit/connection/unfinished_response.test.ts
@@ -5,27 +5,26 @@
 import {openHttpListener} from '../../../src/connection/http_listener.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
-for (const [what, isSlow] of [
+for (const [outcome, isSlow] of [
   ['is reset', true],
-  ['is whole', false],
+  ['is complete', false],
 ] as const) {
-  test(`an answer without a length ${what} as the process ends, to a reader that is ${isSlow ? 'slow' : 'quick'}`, async t => {
-    // A client took part of an answer for the whole one. All of it had come from the
-    // upstream and its client read slowly when the grace of its node was over: a
-    // connection that the end of the process closes ends in good order, which is how
-    // an answer without a length ends.
+  test(`a response without a length ${outcome} on process exit if its reader is ${isSlow ? 'slow' : 'fast'}`, async t => {
+    // A client read slowly and the node exited at the end of its grace period. The
+    // system closes connections normally on exit, which marks the end of a response
+    // without a length, so the client treated a partial response as complete.
     const body = Buffer.alloc(isSlow ? 64 * 1024 * 1024 : 1024);
     const listener = await openHttpListener({
       endpoint: {address: '127.0.0.1', port: 0},
       handle: exchange => {
-        const answer = {
+        const response = {
           statusCode: 200,
           headers: [],
           isUnframed: true,
           bodyStart: body,
           bodyRest: undefined,
         };
-        sendResponse(exchange.response, answer, [], 'GET');
+        sendResponse(exchange.response, response, [], 'GET');
         return Promise.resolve();
       },
     });
--- a/test/unit/connection/upstream_probe.test.ts
+++ b/test/unit/connection/upstream_probe.test.ts
@@ -5,7 +5,7 @@
 
 const ADDRESS = '127.0.0.1';
 
-test('a probe tells a listening process from one that has ended', async t => {
+test('a probe distinguishes a listening process from one that has ended', async t => {
   const server = createServer();
   const port = await bindListener(server, {address: ADDRESS, port: 0});
   t.is(await probeUpstream({address: ADDRESS, port}), 'accepted');
