--- a/test/contract/platform_connection_ends.test.ts
+++ b/test/contract/platform_connection_ends.test.ts
@@ -8,10 +8,10 @@
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
-test('a request behind an answer without body and length is answered', async t => {
-  // After an answer of 204 the client's next request on the same connection had
-  // no answer, and the connection stayed open: an answer without a length was
-  // noted as one that ends its connection, and only one that has a body does.
+test('a request after a response without body and length gets a response', async t => {
+  // After a 204 response, the client's next request on the same connection got no
+  // response, and the connection stayed open: every response without a length was
+  // treated as closing its connection, but only one that has a body does.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
@@ -22,16 +22,16 @@
   });
   const client = await connectRawClient(t, shop!.address, fleet.outboundPort);
   client.ask('first', '/a/1');
-  await waitUntil('first answer', () => client.statusCodes.length === 1);
+  await waitUntil('first response', () => client.statusCodes.length === 1);
   client.ask('second', '/a/2');
-  await waitUntil('answered', () => client.statusCodes.length === 2);
+  await waitUntil('second response', () => client.statusCodes.length === 2);
   t.deepEqual(client.statusCodes, [204, 200]);
 });
 
-test('a long answer without a length that breaks off is reset, not ended', async t => {
-  // A client took 70,061 bytes of a broken answer for a whole one: its upstream
-  // had been reset in the middle of it, and the node ended the connection in
-  // good order, which is how an answer without a length ends.
+test('a long response without a length that is aborted is reset, not ended', async t => {
+  // A client treated 70,061 bytes of an aborted response as complete: the upstream
+  // connection was reset within the body, and the node closed the client connection
+  // normally, which marks the end of a response without a length.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
@@ -66,5 +66,5 @@
   t.is(errorCode, 'ECONNRESET');
 });
 
-/** Longer than what a node holds until it is whole. */
+/** Longer than a response that a node buffers completely. */
 const LONG_BYTES = 140_000;
--- a/test/contract/platform_lost_history.test.ts
+++ b/test/contract/platform_lost_history.test.ts
@@ -4,8 +4,11 @@
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
-/** Whether a node has brought a version into force. */
-function hasAccepted(host: FleetHost, configurationVersion: number): boolean {
+/** Whether a node has put a version into force. */
+function hasAcceptedVersion(
+  host: FleetHost,
+  configurationVersion: number,
+): boolean {
   return host.events.some(
     ({event, fields}) =>
       event === 'configuration-accepted' &&
@@ -13,8 +16,8 @@
   );
 }
 
-/** Whether a node was told changes, by the store or by the node that watches. */
-function hasChanges(host: FleetHost): boolean {
+/** Whether a node has received changes from the store or the watching node. */
+function hasReceivedChanges(host: FleetHost): boolean {
   return host.events.some(
     ({event, fields}) =>
       event === 'documents-relayed' ||
@@ -22,13 +25,12 @@
   );
 }
 
-test('a version is in force in time though a watch hears nothing of it', async t => {
-  // A node refused requests with 404 for a route of a version that had been
-  // published 4.2 s before, while four others followed it. All had waited for
-  // changes to gather while the version was published and the store dropped its
-  // history. Their next watches began before it: some were told so at once, and
-  // others only when their wait was over: "history-lost, tookMillis 3508". A node
-  // knew no more of the store than its own watch told.
+test('a version takes effect in time although a watch does not return it', async t => {
+  // A node refused requests with 404 for a route of a version published 4.2 s before,
+  // which four other nodes had in force. All nodes batched changes while the version
+  // was published and the store dropped its history. Some of their next watches
+  // reported the loss immediately, others only on timeout ("history-lost, tookMillis
+  // 3508"), and a node had no other information about the store.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders', 'orders'],
     paths: [SAFE_PATH],
@@ -37,7 +39,7 @@
   const {store, hosts} = fleet;
   const [, orders] = hosts;
   fleet.publish(orders!, {seq: 2});
-  await waitUntil('changes gather', () => hosts.every(hasChanges));
+  await waitUntil('changes received', () => hosts.every(hasReceivedChanges));
   fleet.configure([SAFE_PATH, fleetPath({name: 'r-3', prefix: '/new/'})]);
   store.compact();
   store.holdLost(1);
@@ -48,9 +50,11 @@
       sent.push(fleet.send(host, {attemptId, path: '/a/1'}));
     }
   }, 50);
-  await waitUntil('in force', () => hosts.every(host => hasAccepted(host, 2)));
+  await waitUntil('in force', () =>
+    hosts.every(host => hasAcceptedVersion(host, 2)),
+  );
   clearInterval(timer);
   await Promise.all(sent);
-  // The rest of the bound has passed in the pause.
+  // The batching pause has used up the rest of the bound.
   t.true(store.longestHeldMillis <= 600, String(store.longestHeldMillis));
 });
