--- a/src/connection/hop_peer.ts
+++ b/src/connection/hop_peer.ts
@@ -231,8 +231,12 @@
         if (!hop.isOpen) detachedHops.delete(hop);
       }
       for (const connection of [...connections]) {
-        if (connection.openCount > 0 || connection.lastUsedMillis > sinceMillis)
+        if (
+          connection.openCount > 0 ||
+          connection.lastUsedMillis > sinceMillis
+        ) {
           continue;
+        }
         connections.delete(connection);
         connection.closeAndTakeHops();
       }
@@ -252,7 +256,8 @@
   const isReady = connection.instanceId !== undefined;
   const isBestReady = best.instanceId !== undefined;
   if (isReady !== isBestReady) return isReady;
-  if (connection.openCount !== best.openCount)
+  if (connection.openCount !== best.openCount) {
     return connection.openCount < best.openCount;
+  }
   return connection.lastUsedMillis > best.lastUsedMillis;
 }
--- a/src/connection/http_listener.ts
+++ b/src/connection/http_listener.ts
@@ -170,8 +170,9 @@
     // partial response without a length would look complete to its client.
     resetUnfinished: () => {
       for (const [socket, {newestResponse}] of connections) {
-        if (newestResponse?.writableFinished === false)
+        if (newestResponse?.writableFinished === false) {
           socket.resetAndDestroy();
+        }
       }
     },
   };
--- a/src/connection/peer_query_client.ts
+++ b/src/connection/peer_query_client.ts
@@ -116,8 +116,12 @@
     closeIdleConnections: () => {
       const sinceMillis = nowMillis() - MAX_IDLE_MILLIS;
       for (const [key, connection] of connections) {
-        if (connection.pending.size > 0 || connection.usedMillis > sinceMillis)
+        if (
+          connection.pending.size > 0 ||
+          connection.usedMillis > sinceMillis
+        ) {
           continue;
+        }
         connections.delete(key);
         connection.connection.end();
       }
--- a/src/connection/upstream_sender.ts
+++ b/src/connection/upstream_sender.ts
@@ -144,8 +144,9 @@
   request: UpstreamRequest,
   wireHeaders: WireHeaders,
 ): UpstreamResult {
-  if (result.kind === 'not-sent')
+  if (result.kind === 'not-sent') {
     return {kind: 'not-run', reason: 'unreachable'};
+  }
   if (result.kind === 'lost') {
     const reason = request.cancel.isCancelled ? 'cancelled' : 'connection-lost';
     return {kind: 'unknown', reason, wasReused: result.wasReused};
