--- a/src/connection/follower_state.ts
+++ b/src/connection/follower_state.ts
@@ -62,8 +62,8 @@
   markLost(reason: string): void;
   applySnapshot(snapshot: DocumentBatch): void;
   /**
-   * Applies changes that follow a position; relayed changes may already be
-   * later than it.
+   * Applies changes after a position; skips those that the other task has
+   * already applied.
    */
   applyChanges(after: SourcePosition, read: DocumentBatch): void;
 }
