--- a/src/emulator/caller.ts
+++ b/src/emulator/caller.ts
@@ -4,10 +4,10 @@
 import type {Agent} from 'node:http';
 import {performance} from 'node:perf_hooks';
 import {FULMARHOLLOW_HEADERS} from '../protocol/fulmarhollow_headers.js';
-import {digestOf, findAnswerProblem} from './answer_body.js';
+import {hashBody, findResponseProblem} from './response_body.js';
 import {REQUEST_PARAMETER} from './execution_record.js';
-import type {HttpAnswer} from './http_support.js';
-import {LOOPBACK_ADDRESS, sendHttp} from './http_support.js';
+import type {HttpResponse} from './http_support.js';
+import {LOOPBACK_ADDRESS, sendHttpRequest} from './http_support.js';
 
 /** One request as a caller makes it. */
 export interface CallerRequest {
@@ -58,17 +58,21 @@
   const startMillis = performance.now();
   const query = `${REQUEST_PARAMETER}=${encodeURIComponent(request.name)}`;
   try {
-    const answer = await sendHttp({
+    const response = await sendHttpRequest({
       address: LOOPBACK_ADDRESS,
       port: request.port,
       method: request.method,
       path: `${request.path}?${query}`,
-      headers: headersOf(request),
+      headers: createHeaders(request),
       body: request.body,
       agent: request.agent,
       signal: AbortSignal.timeout(request.timeoutMillis),
     });
-    return judge(request, answer, performance.now() - startMillis);
+    return createCallerResult(
+      request,
+      response,
+      performance.now() - startMillis,
+    );
   } catch (error) {
     return {
       kind: 'broken',
@@ -84,32 +88,32 @@
   }
 }
 
-function headersOf(request: CallerRequest): Record<string, string> {
+function createHeaders(request: CallerRequest): Record<string, string> {
   return {
     host: request.service,
     [FULMARHOLLOW_HEADERS.timeoutMillis]: String(request.timeoutMillis),
   };
 }
 
-function judge(
+function createCallerResult(
   request: CallerRequest,
-  answer: HttpAnswer,
+  response: HttpResponse,
   latencyMillis: number,
 ): CallerResult {
   const header = (name: string): string =>
-    (answer.headers[name] as string | undefined) ?? '';
-  const isSuccess = answer.statusCode === 200;
+    (response.headers[name] as string | undefined) ?? '';
+  const isSuccess = response.statusCode === 200;
   const problem = isSuccess
-    ? findAnswerProblem(answer.body, {
+    ? findResponseProblem(response.body, {
         request: request.name,
         path: request.path,
-        requestDigest: digestOf(request.body),
+        requestDigest: hashBody(request.body),
       })
     : undefined;
   const retryAfter = header('retry-after');
   return {
     kind: !isSuccess ? 'failed' : problem === undefined ? 'answered' : 'wrong',
-    statusCode: answer.statusCode,
+    statusCode: response.statusCode,
     outcome: (header(FULMARHOLLOW_HEADERS.notes.outcome) || undefined) as
       Outcome | undefined,
     reason: header(FULMARHOLLOW_HEADERS.notes.reason),
--- a/src/emulator/demo.ts
+++ b/src/emulator/demo.ts
@@ -10,14 +10,14 @@
 import {launchFleet} from './fleet_launcher.js';
 import type {Policy} from '../version/policy.js';
 import {createIlorinServices} from './ilorin_services.js';
-import {exitOnSignal, failProcess} from './process_support.js';
+import {exitOnSignal, exitWithError} from './process_support.js';
 import {formatTable} from './text_table.js';
 import {waitFor} from './wait_for.js';
 
 const ZONES_COUNT = 2;
-const READY_LIMIT_MILLIS = 30_000;
-const VERSION_LIMIT_MILLIS = 10_000;
-const STOP_LIMIT_MILLIS = 40_000;
+const READY_TIMEOUT_MILLIS = 30_000;
+const VERSION_TIMEOUT_MILLIS = 10_000;
+const STOP_TIMEOUT_MILLIS = 40_000;
 const CALLER_TIMEOUT_MILLIS = 5000;
 
 /** Enough that each upstream of a service gets one. */
@@ -49,13 +49,13 @@
   exitOnSignal(fleet.close);
   const problems: string[] = [];
   try {
-    await fleet.waitUntilReady(READY_LIMIT_MILLIS);
+    await fleet.waitUntilReady(READY_TIMEOUT_MILLIS);
     print(`${String(fleet.hosts.size)} daemons are ready in 2 zones.\n`);
-    problems.push(...(await showReads(fleet)));
-    problems.push(...(await showOrder(fleet)));
-    problems.push(...(await showRetry(fleet)));
+    problems.push(...(await runReads(fleet)));
+    problems.push(...(await runOrder(fleet)));
+    problems.push(...(await runRetry(fleet)));
     await fleet.publishPolicy({...policy, version: policy.version + 1});
-    problems.push(...(await showVersions(fleet, policy.version + 1)));
+    problems.push(...(await checkVersions(fleet, policy.version + 1)));
     problems.push(...(await stopAll(fleet)));
   } finally {
     await fleet.close();
@@ -70,7 +70,7 @@
 }
 
 /** Reads of every depth through nodes of both zones. */
-async function showReads(fleet: Fleet): Promise<readonly string[]> {
+async function runReads(fleet: Fleet): Promise<readonly string[]> {
   const results = await sendAll(fleet, [
     {
       label: 'browse a tile',
@@ -114,7 +114,7 @@
 }
 
 /** An order whose first host is down: it goes on to another, and runs once. */
-async function showOrder(fleet: Fleet): Promise<readonly string[]> {
+async function runOrder(fleet: Fleet): Promise<readonly string[]> {
   await fleet.host('orderdesk-ilorin-a-1').killDaemon();
   const name = uuid();
   const results = await sendAll(
@@ -132,10 +132,10 @@
     name,
   );
   await fleet.startDaemon('orderdesk-ilorin-a-1');
-  await fleet.waitUntilReady(READY_LIMIT_MILLIS, ['orderdesk-ilorin-a-1']);
+  await fleet.waitUntilReady(READY_TIMEOUT_MILLIS, ['orderdesk-ilorin-a-1']);
   const problems = showResults('An order while a host is down', results);
-  const executions = await executionsOf(fleet, name, '/terrain-orders');
-  const takings = await executionsOf(fleet, name, '/stock/p7/takings');
+  const executions = await countExecutions(fleet, name, '/terrain-orders');
+  const takings = await countExecutions(fleet, name, '/stock/p7/takings');
   print(
     `Executed ${String(executions)} time(s), stock taken ${String(takings)} time(s).\n`,
   );
@@ -144,7 +144,7 @@
 }
 
 /** Reads of which one meets an upstream that breaks the connection. */
-async function showRetry(fleet: Fleet): Promise<readonly string[]> {
+async function runRetry(fleet: Fleet): Promise<readonly string[]> {
   await fleet
     .host('tileyard-ilorin-b-1')
     .setUpstreamFault({mode: 'reset', remainingCount: 1});
@@ -161,15 +161,15 @@
   return isRetried ? problems : [...problems, 'no read was retried'];
 }
 
-async function showVersions(
+async function checkVersions(
   fleet: Fleet,
   version: number,
 ): Promise<readonly string[]> {
   const names = [...fleet.hosts.keys()];
   const readVersions = (): Promise<readonly number[]> =>
     Promise.all(names.map(name => fleet.versionInForce(name)));
-  const isInForce = await waitFor(VERSION_LIMIT_MILLIS, async () =>
-    (await readVersions()).every(held => held === version),
+  const isInForce = await waitFor(VERSION_TIMEOUT_MILLIS, async () =>
+    (await readVersions()).every(activeVersion => activeVersion === version),
   );
   const versions = await readVersions();
   const rows = names.map((name, i) => [name, String(versions[i])]);
@@ -180,7 +180,7 @@
 
 async function stopAll(fleet: Fleet): Promise<readonly string[]> {
   const exits = await Promise.all(
-    [...fleet.hosts.values()].map(host => host.stopDaemon(STOP_LIMIT_MILLIS)),
+    [...fleet.hosts.values()].map(host => host.stopDaemon(STOP_TIMEOUT_MILLIS)),
   );
   const cleanCount = exits.filter(exit => exit.code === 0).length;
   print(
@@ -212,7 +212,7 @@
 }
 
 /** Executions of a path for the request of a caller's name. */
-async function executionsOf(
+async function countExecutions(
   fleet: Fleet,
   name: string,
   path: string,
@@ -270,4 +270,4 @@
   process.stdout.write(`${text}\n`);
 }
 
-main().catch(failProcess);
+main().catch(exitWithError);
--- a/src/emulator/stand_in_platform.ts
+++ b/src/emulator/emulated_platform.ts
@@ -55,7 +55,7 @@
 }
 
 /** What to listen on; port 0 lets the system choose. */
-export interface StandInPlatformOptions {
+export interface EmulatedPlatformOptions {
   readonly address?: string | undefined;
   /** Port of the front named `main`. */
   readonly port: number;
@@ -65,7 +65,7 @@
 }
 
 /** A running stand-in. */
-export interface StandInPlatform {
+export interface EmulatedPlatform {
   /** Port of the front `main`. */
   readonly port: number;
   readonly controlPort: number;
@@ -90,10 +90,14 @@
   readonly sockets: ReadonlySet<Socket>;
   fault: PlatformFault;
   /** Documents served while stale. */
-  frozenDocuments: Documents | undefined;
+  staleDocuments: Documents | undefined;
 }
 
-const HEALTHY: PlatformFault = {mode: 'up', isStale: false, delayMillis: 0};
+const NO_PLATFORM_FAULT: PlatformFault = {
+  mode: 'up',
+  isStale: false,
+  delayMillis: 0,
+};
 
 /** Longest wait a watch may ask for. */
 const MAXIMUM_WAIT_MILLIS = 120_000;
@@ -104,9 +108,9 @@
 ]);
 
 /** Starts a stand-in platform without documents. */
-export async function createStandInPlatform(
-  options: StandInPlatformOptions,
-): Promise<StandInPlatform> {
+export async function createEmulatedPlatform(
+  options: EmulatedPlatformOptions,
+): Promise<EmulatedPlatform> {
   const address = options.address ?? LOOPBACK_ADDRESS;
   const onDidChange = createEmitter<undefined>();
   const counts = {
@@ -117,7 +121,7 @@
   };
   let documents: Documents = {policy: undefined, hosts: undefined};
 
-  const serve = async (
+  const handleRequest = async (
     front: Front,
     request: IncomingMessage,
     response: ServerResponse,
@@ -142,24 +146,25 @@
       response.writeHead(404, {'content-length': 0}).end();
       return;
     }
-    const held = (): PublishedDocument | undefined =>
-      (front.frozenDocuments ?? documents)[name];
+    const currentDocument = (): PublishedDocument | undefined =>
+      (front.staleDocuments ?? documents)[name];
     if (after !== null) {
       const waitMillis = Number(url.searchParams.get('wait_ms') ?? '0');
-      await waitForNewer(held, Number(after), waitMillis, response);
+      await waitForNewer(currentDocument, Number(after), waitMillis, response);
     }
     if (response.destroyed) return;
-    answer(front, response, held(), after);
+    sendDocument(front, response, currentDocument(), after);
   };
 
   const waitForNewer = (
-    held: () => PublishedDocument | undefined,
+    currentDocument: () => PublishedDocument | undefined,
     afterVersion: number,
     waitMillis: number,
     response: ServerResponse,
   ): Promise<void> =>
     new Promise(resolve => {
-      const isNewer = (): boolean => (held()?.version ?? 0) > afterVersion;
+      const isNewer = (): boolean =>
+        (currentDocument()?.version ?? 0) > afterVersion;
       const finish = (): void => {
         clearTimeout(timer);
         subscription.dispose();
@@ -176,7 +181,7 @@
       if (isNewer()) finish();
     });
 
-  const answer = (
+  const sendDocument = (
     front: Front,
     response: ServerResponse,
     document: PublishedDocument | undefined,
@@ -212,7 +217,7 @@
   const frontPorts = new Map<string, number>();
   const openFront = async (name: string, port: number): Promise<void> => {
     const server = http.createServer((request, response) => {
-      serve(front, request, response).catch(() => {
+      handleRequest(front, request, response).catch(() => {
         response.destroy();
       });
     });
@@ -220,8 +225,8 @@
     const front: Front = {
       server,
       sockets,
-      fault: HEALTHY,
-      frozenDocuments: undefined,
+      fault: NO_PLATFORM_FAULT,
+      staleDocuments: undefined,
     };
     server.on('connection', (socket: Socket) => {
       if (front.fault.mode === 'refuse') socket.destroy();
@@ -232,8 +237,8 @@
 
   const setFrontFault = (front: Front, fault: Partial<PlatformFault>): void => {
     front.fault = {...front.fault, ...fault};
-    if (!front.fault.isStale) front.frozenDocuments = undefined;
-    else front.frozenDocuments ??= documents;
+    if (!front.fault.isStale) front.staleDocuments = undefined;
+    else front.staleDocuments ??= documents;
     if (front.fault.mode === 'refuse') {
       for (const socket of front.sockets) socket.destroy();
     }
@@ -253,8 +258,8 @@
   };
 
   const setFault = (frontName: string, fault: Partial<PlatformFault>): void => {
-    const chosen = frontName === 'all' ? [...fronts.keys()] : [frontName];
-    for (const name of chosen) {
+    const frontNames = frontName === 'all' ? [...fronts.keys()] : [frontName];
+    for (const name of frontNames) {
       const front = fronts.get(name);
       if (front === undefined) {
         throw new InvalidInputError(`no front named '${name}'`);
@@ -269,8 +274,9 @@
     if (method === 'GET' && operation === 'counts') return counts;
     if (method !== 'PUT') return undefined;
     if (operation === 'policy' || operation === 'hosts') {
-      const given = url.searchParams.get('version');
-      const version = given === null ? undefined : Number(given);
+      const versionParameter = url.searchParams.get('version');
+      const version =
+        versionParameter === null ? undefined : Number(versionParameter);
       return {version: publish(operation, new Uint8Array(body), version)};
     }
     if (operation !== 'faults') return undefined;
--- a/src/emulator/stand_in_upstream.ts
+++ b/src/emulator/emulated_upstream.ts
@@ -6,7 +6,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {FULMARHOLLOW_HEADERS} from '../protocol/fulmarhollow_headers.js';
-import {createAnswerBody, digestOf} from './answer_body.js';
+import {createResponseBody, hashBody} from './response_body.js';
 import type {ExecutionRecord} from './execution_record.js';
 import {REQUEST_PARAMETER, createExecutionRecord} from './execution_record.js';
 import {
@@ -14,20 +14,20 @@
   closeServer,
   createControlServer,
   listen,
-  readWhole,
+  readBody,
   trackSockets,
 } from './http_support.js';
-import {createFaultSwitch} from './fault_switch.js';
-import {createHeldAnswers} from './held_answers.js';
+import {createFaultState} from './fault_state.js';
+import {createHeldResponses} from './held_responses.js';
 import {createSeededRandom} from './seeded_random.js';
 import {createSlotPool} from './slot_pool.js';
 import {createUpstreamCalls} from './upstream_calls.js';
 import {
-  answerHeaders,
-  cutBody,
-  cutHeaders,
-  sendPlain,
-} from './upstream_answers.js';
+  responseHeaders,
+  sendPartialBody,
+  sendPartialHeaders,
+  sendEmptyResponse,
+} from './upstream_responses.js';
 import type {
   FaultMode,
   UpstreamConfig,
@@ -52,20 +52,20 @@
 }
 
 /** A running stand-in. */
-export interface StandInUpstream {
+export interface EmulatedUpstream {
   readonly port: number;
   readonly controlPort: number;
   readonly record: ExecutionRecord;
   /** Changes the named parts of the behaviour. */
   setFault(fault: Partial<UpstreamFault>): void;
   /** Lets held answers go. */
-  releaseHeld(): void;
+  releaseHeldResponses(): void;
   counts(): UpstreamCounts;
   close(): Promise<void>;
 }
 
 /** One request as the upstream sees it. */
-interface Incoming {
+interface IncomingRequest {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly url: URL;
@@ -78,9 +78,9 @@
 const DEFAULT_QUEUE_COUNT = 10_000;
 
 /** Starts a stand-in upstream. */
-export async function createStandInUpstream(
+export async function createEmulatedUpstream(
   config: UpstreamConfig,
-): Promise<StandInUpstream> {
+): Promise<EmulatedUpstream> {
   const address = config.address ?? LOOPBACK_ADDRESS;
   const record = createExecutionRecord();
   const random = createSeededRandom(config.seed ?? 1);
@@ -89,8 +89,8 @@
     config.slotsCount,
     config.queueCount ?? DEFAULT_QUEUE_COUNT,
   );
-  const held = createHeldAnswers();
-  const faults = createFaultSwitch();
+  const heldResponses = createHeldResponses();
+  const faultState = createFaultState();
   const counts = {
     receivedCount: 0,
     startedCount: 0,
@@ -100,7 +100,7 @@
     peakInProgressCount: 0,
   };
 
-  const handle = async (
+  const handleRequest = async (
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> => {
@@ -109,9 +109,9 @@
       if (!response.writableFinished) controller.abort();
     });
     counts.receivedCount += 1;
-    const body = await readWhole(request);
+    const body = await readBody(request);
     const url = new URL(request.url ?? '/', 'http://upstream');
-    const incoming: Incoming = {
+    const incoming: IncomingRequest = {
       request,
       response,
       url,
@@ -126,34 +126,34 @@
       url.pathname,
     );
     if (route === undefined) {
-      sendPlain(response, 404);
+      sendEmptyResponse(response, 404);
       return;
     }
-    const faultMode = faults.takeMode(url.pathname);
+    const faultMode = faultState.consumeMode(url.pathname);
     if (faultMode === 'reset-unrun') {
       request.socket.resetAndDestroy();
       return;
     }
     if (faultMode === 'refuse' || !(await slots.acquire(incoming.signal))) {
-      refuse(incoming);
+      rejectRequest(incoming);
       return;
     }
     try {
-      await execute(incoming, route, faultMode);
+      await executeRequest(incoming, route, faultMode);
     } finally {
       slots.release();
     }
   };
 
-  const refuse = (incoming: Incoming): void => {
+  const rejectRequest = (incoming: IncomingRequest): void => {
     counts.refusedCount += 1;
-    sendPlain(incoming.response, 503, {
+    sendEmptyResponse(incoming.response, 503, {
       [FULMARHOLLOW_HEADERS.notExecuted]: '1',
     });
   };
 
-  const execute = async (
-    incoming: Incoming,
+  const executeRequest = async (
+    incoming: IncomingRequest,
     route: UpstreamRoute,
     faultMode: FaultMode,
   ): Promise<void> => {
@@ -169,21 +169,21 @@
     });
     try {
       if (faultMode === 'silent') await waitForAbort(incoming.signal);
-      await serveFor(route, incoming.signal);
+      await simulateServiceTime(route, incoming.signal);
       const result = await calls.run(
         route.callStages ?? [],
         incoming,
         execution,
-        faults.current(),
+        faultState.current(),
       );
       execution.isComplete = true;
       counts.completedCount += 1;
-      if (faultMode === 'hold') await held.wait(incoming.signal);
+      if (faultMode === 'hold') await heldResponses.wait(incoming.signal);
       const statusCode = result.isSuccess ? 200 : 502;
       incoming.response.once('finish', () => {
         execution.isAnswered = true;
       });
-      answer(incoming, route, faultMode, statusCode, result.statusCodes);
+      sendResponse(incoming, route, faultMode, statusCode, result.statusCodes);
     } catch (error) {
       if (!incoming.signal.aborted) throw error;
       execution.isCancelled = true;
@@ -193,18 +193,18 @@
     }
   };
 
-  const serveFor = async (
+  const simulateServiceTime = async (
     route: UpstreamRoute,
     signal: AbortSignal,
   ): Promise<void> => {
     const serviceMillis =
       random.logNormal(route.serviceMillis, route.serviceSigma ?? 0) *
-      faults.current().slowFactor;
+      faultState.current().slowFactor;
     if (serviceMillis > 0) await sleep(serviceMillis, undefined, {signal});
   };
 
-  const answer = (
-    incoming: Incoming,
+  const sendResponse = (
+    incoming: IncomingRequest,
     route: UpstreamRoute,
     faultMode: FaultMode,
     statusCode: number,
@@ -216,32 +216,32 @@
       return;
     }
     if (faultMode === 'error' || faultMode === 'unavailable') {
-      sendPlain(response, faultMode === 'error' ? 500 : 503);
+      sendEmptyResponse(response, faultMode === 'error' ? 500 : 503);
       return;
     }
-    const body = createAnswerBody(
+    const body = createResponseBody(
       {
         request: incoming.name,
         service: config.service,
         host: config.hostName,
         path: incoming.url.pathname,
-        requestDigest: digestOf(incoming.body),
+        requestDigest: hashBody(incoming.body),
         calls: callStatusCodes,
       },
       route.answerBytes,
     );
-    const {cutAt} = faults.current();
+    const {cutAt} = faultState.current();
     if (faultMode === 'cut' && cutAt === 'headers') {
-      cutHeaders(incoming.request);
+      sendPartialHeaders(incoming.request);
       return;
     }
-    response.writeHead(statusCode, answerHeaders(route, body));
-    if (faultMode === 'cut') cutBody(response, body, cutAt);
+    response.writeHead(statusCode, responseHeaders(route, body));
+    if (faultMode === 'cut') sendPartialBody(response, body, cutAt);
     else response.end(body);
   };
 
   const server = http.createServer((request, response) => {
-    handle(request, response).catch(() => {
+    handleRequest(request, response).catch(() => {
       response.destroy();
     });
   });
@@ -258,7 +258,7 @@
     inProgressCount: slots.busyCount(),
     waitingCount: slots.waitingCount(),
     openConnectionsCount: sockets.size,
-    wrongAnswersCount: calls.wrongAnswersCount(),
+    wrongAnswersCount: calls.wrongResponsesCount(),
   });
 
   const control = createControlServer((method, path, body) => {
@@ -275,12 +275,12 @@
         record.clear();
         return {};
       case 'GET /fault':
-        return faults.current();
+        return faultState.current();
       case 'PUT /fault':
-        faults.set(JSON.parse(body.toString()) as Partial<UpstreamFault>);
-        return faults.current();
+        faultState.set(JSON.parse(body.toString()) as Partial<UpstreamFault>);
+        return faultState.current();
       case 'POST /release':
-        held.release();
+        heldResponses.release();
         return {};
       default:
         return undefined;
@@ -293,8 +293,8 @@
     port,
     controlPort,
     record,
-    setFault: faults.set,
-    releaseHeld: held.release,
+    setFault: faultState.set,
+    releaseHeldResponses: heldResponses.release,
     counts: readCounts,
     close: async () => {
       calls.dispose();
--- a/src/emulator/execution_record.ts
+++ b/src/emulator/execution_record.ts
@@ -27,7 +27,7 @@
 }
 
 /** Names the service and path that a call goes to. */
-export function callTarget(service: string, path: string): string {
+export function callTargetKey(service: string, path: string): string {
   return `${service} ${path}`;
 }
 
--- a/src/emulator/faulty_link.ts
+++ b/src/emulator/faulty_link.ts
@@ -39,14 +39,14 @@
    * Bounds what each connection carries in each direction, from its next bytes on;
    * without a figure there is no bound.
    */
-  setWidth(bytesPerSecond: number | undefined): void;
+  setBandwidth(bytesPerSecond: number | undefined): void;
   /**
    * Opens or closes the listener. Without one, connecting is refused, as it is
    * by a host whose process has ended.
    */
   setAccepting(isAccepting: boolean): Promise<void>;
   /** Silences all connections open now, for good; new ones work. */
-  forgetOpenConnections(): number;
+  stallOpenConnections(): number;
   openConnectionsCount(): number;
   close(): void;
 }
@@ -58,10 +58,10 @@
 
 interface Relay {
   readonly source: string;
-  readonly near: Socket;
-  readonly far: Socket;
+  readonly clientSocket: Socket;
+  readonly targetSocket: Socket;
   /** Stays silent even after the link healed. */
-  isForgotten: boolean;
+  isStalled: boolean;
 }
 
 /** Opens a relay on a free loopback port. */
@@ -70,47 +70,47 @@
 ): Promise<FaultyLink> {
   const modes = new Map<string, LinkMode>();
   const relays = new Set<Relay>();
-  const unassigned = new Set<Socket>();
+  const unresolvedSockets = new Set<Socket>();
   let defaultMode: LinkMode = 'open';
   let targetPort = options.targetPort;
-  let widthBytesPerSecond: number | undefined;
+  let bandwidthBytesPerSecond: number | undefined;
 
   const modeOf = (source: string): LinkMode => modes.get(source) ?? defaultMode;
 
   const applyMode = (relay: Relay): void => {
-    const mode = relay.isForgotten ? 'silent' : modeOf(relay.source);
+    const mode = relay.isStalled ? 'silent' : modeOf(relay.source);
     if (mode === 'reset') {
-      reset(relay);
+      resetRelay(relay);
     } else if (mode === 'silent') {
-      relay.near.pause();
-      relay.far.pause();
-    } else if (relay.near.destroyed || relay.far.destroyed) {
+      relay.clientSocket.pause();
+      relay.targetSocket.pause();
+    } else if (relay.clientSocket.destroyed || relay.targetSocket.destroyed) {
       // One side ended while the link was silent; now the other learns it.
-      reset(relay);
+      resetRelay(relay);
     } else {
-      relay.near.resume();
-      relay.far.resume();
+      relay.clientSocket.resume();
+      relay.targetSocket.resume();
     }
   };
-  const applyAll = (): void => {
+  const applyModes = (): void => {
     for (const relay of [...relays]) applyMode(relay);
   };
 
-  const open = (near: Socket, source: string): void => {
-    const far = connect({
+  const openRelay = (clientSocket: Socket, source: string): void => {
+    const targetSocket = connect({
       host: options.targetAddress ?? LOOPBACK_ADDRESS,
       port: targetPort,
       noDelay: true,
     });
-    const relay: Relay = {source, near, far, isForgotten: false};
+    const relay: Relay = {source, clientSocket, targetSocket, isStalled: false};
     relays.add(relay);
-    carry(relay, near, far);
-    carry(relay, far, near);
+    forwardData(relay, clientSocket, targetSocket);
+    forwardData(relay, targetSocket, clientSocket);
     applyMode(relay);
   };
 
   /** Carries one direction; an end or error passes on unless silent. */
-  const carry = (relay: Relay, from: Socket, to: Socket): void => {
+  const forwardData = (relay: Relay, from: Socket, to: Socket): void => {
     const write = (chunk: Buffer): void => {
       if (to.write(chunk)) return;
       from.pause();
@@ -119,24 +119,25 @@
       });
     };
     from.on('data', (chunk: Buffer) => {
-      if (widthBytesPerSecond === undefined) {
+      if (bandwidthBytesPerSecond === undefined) {
         write(chunk);
         return;
       }
       from.pause();
-      const millis = (chunk.length * MILLIS_PER_SECOND) / widthBytesPerSecond;
+      const transferMillis =
+        (chunk.length * MILLIS_PER_SECOND) / bandwidthBytesPerSecond;
       setTimeout(() => {
         if (to.destroyed) return;
         applyMode(relay);
         write(chunk);
-      }, millis);
+      }, transferMillis);
     });
     from.on('end', () => to.end());
     from.on('error', () => {
       // Ends in 'close', which decides what the other side learns.
     });
     from.on('close', hadError => {
-      const isSilent = relay.isForgotten || modeOf(relay.source) === 'silent';
+      const isSilent = relay.isStalled || modeOf(relay.source) === 'silent';
       // Whoever lost track of a connection does not tell of its end either.
       if (isSilent) return;
       relays.delete(relay);
@@ -145,27 +146,30 @@
     });
   };
 
-  const reset = (relay: Relay): void => {
+  const resetRelay = (relay: Relay): void => {
     relays.delete(relay);
-    relay.near.resetAndDestroy();
-    relay.far.resetAndDestroy();
+    relay.clientSocket.resetAndDestroy();
+    relay.targetSocket.resetAndDestroy();
   };
 
-  const server = createServer({pauseOnConnect: true, noDelay: true}, near => {
-    unassigned.add(near);
-    near.on('error', () => {
-      // Handled by 'close' once relayed.
-    });
-    const resolveSource = options.resolveSource;
-    const resolved =
-      resolveSource === undefined
-        ? Promise.resolve(ANY_SOURCE)
-        : resolveSource(near.remotePort ?? 0);
-    void resolved.then(source => {
-      unassigned.delete(near);
-      if (!near.destroyed) open(near, source);
-    });
-  });
+  const server = createServer(
+    {pauseOnConnect: true, noDelay: true},
+    clientSocket => {
+      unresolvedSockets.add(clientSocket);
+      clientSocket.on('error', () => {
+        // Handled by 'close' once relayed.
+      });
+      const resolveSource = options.resolveSource;
+      const resolved =
+        resolveSource === undefined
+          ? Promise.resolve(ANY_SOURCE)
+          : resolveSource(clientSocket.remotePort ?? 0);
+      void resolved.then(source => {
+        unresolvedSockets.delete(clientSocket);
+        if (!clientSocket.destroyed) openRelay(clientSocket, source);
+      });
+    },
+  );
   const port = await listen(server, LOOPBACK_ADDRESS, 0);
 
   const setAccepting = async (isAccepting: boolean): Promise<void> => {
@@ -181,26 +185,26 @@
     },
     setMode: (source, mode) => {
       modes.set(source, mode);
-      applyAll();
+      applyModes();
     },
     setDefaultMode: mode => {
       defaultMode = mode;
-      applyAll();
+      applyModes();
     },
-    setWidth: bytesPerSecond => {
-      widthBytesPerSecond = bytesPerSecond;
+    setBandwidth: bytesPerSecond => {
+      bandwidthBytesPerSecond = bytesPerSecond;
     },
     setAccepting,
-    forgetOpenConnections: () => {
-      for (const relay of relays) relay.isForgotten = true;
-      applyAll();
+    stallOpenConnections: () => {
+      for (const relay of relays) relay.isStalled = true;
+      applyModes();
       return relays.size;
     },
     openConnectionsCount: () => relays.size,
     close: () => {
       if (server.listening) server.close();
-      for (const relay of [...relays]) reset(relay);
-      for (const near of unassigned) near.destroy();
+      for (const relay of [...relays]) resetRelay(relay);
+      for (const near of unresolvedSockets) near.destroy();
     },
   };
 }
--- a/src/emulator/fleet_host.ts
+++ b/src/emulator/fleet_host.ts
@@ -9,11 +9,11 @@
 import type {FaultyLink, SourceResolver} from './faulty_link.js';
 import {createFaultyLink} from './faulty_link.js';
 import type {DaemonProgram, HostIdentity} from './fleet_plan.js';
-import {LOOPBACK_ADDRESS, callControl} from './http_support.js';
+import {LOOPBACK_ADDRESS, sendControlRequest} from './http_support.js';
 import type {ManagedProcess, ProcessExit} from './managed_process.js';
 import {startProgram} from './managed_process.js';
 import type {PortBlock} from './port_block.js';
-import type {UpstreamCounts} from './stand_in_upstream.js';
+import type {UpstreamCounts} from './emulated_upstream.js';
 import type {UpstreamFault, UpstreamRoute} from './upstream_config.js';
 
 /** Ports of a host that stay the same over restarts. */
@@ -51,7 +51,7 @@
   readonly ports: FleetHostPorts;
   readonly links: FleetHostLinks | undefined;
   /** The host as the platform lists it. */
-  readonly published: PublishedHost;
+  readonly hostListEntry: PublishedHost;
   /** The daemon started last, running or not. */
   daemon(): ManagedProcess | undefined;
   startUpstream(): Promise<void>;
@@ -62,7 +62,7 @@
   restartUpstream(): Promise<void>;
   startDaemon(): Promise<void>;
   /** SIGTERM; resolves when the daemon has ended. */
-  stopDaemon(limitMillis: number): Promise<ProcessExit>;
+  stopDaemon(timeoutMillis: number): Promise<ProcessExit>;
   killDaemon(): Promise<void>;
   setUpstreamFault(fault: Partial<UpstreamFault>): Promise<void>;
   releaseUpstream(): Promise<void>;
@@ -75,16 +75,18 @@
   close(): Promise<void>;
 }
 
-const KILL_LIMIT_MILLIS = 5000;
+const STOP_TIMEOUT_MILLIS = 5000;
 
 /** Reserves the ports of a host. */
-export async function takeHostPorts(block: PortBlock): Promise<FleetHostPorts> {
+export async function allocateHostPorts(
+  block: PortBlock,
+): Promise<FleetHostPorts> {
   return {
-    caller: await block.take(),
-    local: await block.take(),
-    peer: await block.take(),
-    admin: await block.take(),
-    upstream: await block.take(),
+    caller: await block.allocatePort(),
+    local: await block.allocatePort(),
+    peer: await block.allocatePort(),
+    admin: await block.allocatePort(),
+    upstream: await block.allocatePort(),
   };
 }
 
@@ -104,15 +106,20 @@
   const {identity, ports, links} = options;
   let upstream: ManagedProcess | undefined;
   let daemon: ManagedProcess | undefined;
-  const endedExecutions: Execution[] = [];
-  const endedArrivals: ArrivalCount[] = [];
+  const earlierExecutions: Execution[] = [];
+  const earlierArrivals: ArrivalCount[] = [];
 
-  const callUpstream = (
+  const sendControl = (
     method: string,
     path: string,
     content?: unknown,
   ): Promise<unknown> =>
-    callControl(Number(upstream?.ready['control']), method, path, content);
+    sendControlRequest(
+      Number(upstream?.ready['control']),
+      method,
+      path,
+      content,
+    );
 
   const setAccepting = async (isAccepting: boolean): Promise<void> => {
     await links?.peer.setAccepting(isAccepting);
@@ -137,13 +144,13 @@
   };
 
   const readExecutions = async (): Promise<readonly Execution[]> =>
-    (await callUpstream('GET', '/executions')) as Execution[];
+    (await sendControl('GET', '/executions')) as Execution[];
   const readArrivals = async (): Promise<readonly ArrivalCount[]> =>
-    (await callUpstream('GET', '/arrivals')) as ArrivalCount[];
+    (await sendControl('GET', '/arrivals')) as ArrivalCount[];
 
   const restartUpstream = async (): Promise<void> => {
-    endedExecutions.push(...(await readExecutions()));
-    endedArrivals.push(...(await readArrivals()));
+    earlierExecutions.push(...(await readExecutions()));
+    earlierArrivals.push(...(await readArrivals()));
     upstream?.signal('SIGKILL');
     await upstream?.exited;
     await startUpstream();
@@ -151,7 +158,7 @@
 
   const startDaemon = async (): Promise<void> => {
     const file = join(options.directory, `${identity.name}.settings.json`);
-    await writeFile(file, JSON.stringify(settingsOf(options)));
+    await writeFile(file, JSON.stringify(createSettings(options)));
     const program = options.daemonProgram ?? {
       file: join(options.programDirectory, 'daemon/main.js'),
       args: [],
@@ -164,9 +171,9 @@
     await setAccepting(true);
   };
 
-  const stopDaemon = async (limitMillis: number): Promise<ProcessExit> => {
+  const stopDaemon = async (timeoutMillis: number): Promise<ProcessExit> => {
     if (daemon === undefined) return {code: 0, signal: null};
-    const exit = await daemon.stop(limitMillis);
+    const exit = await daemon.stop(timeoutMillis);
     await setAccepting(false);
     return exit;
   };
@@ -181,7 +188,7 @@
     identity,
     ports,
     links,
-    published: {
+    hostListEntry: {
       ...identity,
       address: LOOPBACK_ADDRESS,
       peerPort: links?.peer.port ?? ports.peer,
@@ -194,18 +201,18 @@
     stopDaemon,
     killDaemon,
     setUpstreamFault: async fault => {
-      await callUpstream('PUT', '/fault', fault);
+      await sendControl('PUT', '/fault', fault);
     },
     releaseUpstream: async () => {
-      await callUpstream('POST', '/release');
+      await sendControl('POST', '/release');
     },
     upstreamCounts: async () =>
-      (await callUpstream('GET', '/counts')) as UpstreamCounts,
-    executions: async () => [...endedExecutions, ...(await readExecutions())],
-    arrivals: async () => [...endedArrivals, ...(await readArrivals())],
+      (await sendControl('GET', '/counts')) as UpstreamCounts,
+    executions: async () => [...earlierExecutions, ...(await readExecutions())],
+    arrivals: async () => [...earlierArrivals, ...(await readArrivals())],
     close: async () => {
       await killDaemon();
-      await upstream?.stop(KILL_LIMIT_MILLIS);
+      await upstream?.stop(STOP_TIMEOUT_MILLIS);
       links?.peer.close();
       links?.upstream.close();
     },
@@ -213,7 +220,7 @@
 }
 
 /** Content of the daemon's settings file. */
-function settingsOf(options: FleetHostOptions): object {
+function createSettings(options: FleetHostOptions): object {
   const {identity, ports, links} = options;
   const address = LOOPBACK_ADDRESS;
   return {
--- a/src/emulator/fleet_launcher.ts
+++ b/src/emulator/fleet_launcher.ts
@@ -12,16 +12,24 @@
 import type {Policy} from '../version/policy.js';
 import type {LinkMode} from './faulty_link.js';
 import type {FleetHost} from './fleet_host.js';
-import {createFleetHost, openHostLinks, takeHostPorts} from './fleet_host.js';
+import {
+  createFleetHost,
+  openHostLinks,
+  allocateHostPorts,
+} from './fleet_host.js';
 import type {FleetPlan, HostIdentity} from './fleet_plan.js';
 import {listHosts} from './fleet_plan.js';
-import type {HttpAnswer} from './http_support.js';
-import {LOOPBACK_ADDRESS, callControl, sendHttp} from './http_support.js';
+import type {HttpResponse} from './http_support.js';
+import {
+  LOOPBACK_ADDRESS,
+  sendControlRequest,
+  sendHttpRequest,
+} from './http_support.js';
 import type {ManagedProcess} from './managed_process.js';
 import {startProgram} from './managed_process.js';
 import {claimPortBlock} from './port_block.js';
 import {createSocketOwnerFinder} from './socket_owner.js';
-import type {PlatformCounts, PlatformFault} from './stand_in_platform.js';
+import type {PlatformCounts, PlatformFault} from './emulated_platform.js';
 import {waitFor} from './wait_for.js';
 
 /** A running fleet. */
@@ -53,7 +61,10 @@
   policyInForce(name: string): Promise<PolicyInForce>;
   isReady(name: string): Promise<boolean>;
   /** Waits until each host is ready in turn, all published ones by default. */
-  waitUntilReady(limitMillis: number, names?: readonly string[]): Promise<void>;
+  waitUntilReady(
+    timeoutMillis: number,
+    names?: readonly string[],
+  ): Promise<void>;
   /** Kills and removes everything; stop daemons first for a planned end. */
   close(): Promise<void>;
 }
@@ -67,8 +78,8 @@
 /** What a host without a policy goes by. */
 export const NO_POLICY: PolicyInForce = {version: 0, digest: ''};
 
-const ADMIN_LIMIT_MILLIS = 1000;
-const STOP_LIMIT_MILLIS = 5000;
+const ADMIN_TIMEOUT_MILLIS = 1000;
+const STOP_TIMEOUT_MILLIS = 5000;
 
 /** Directory of the compiled sources. */
 const PROGRAM_DIRECTORY = dirname(dirname(fileURLToPath(import.meta.url)));
@@ -85,17 +96,22 @@
 
   const close = async (): Promise<void> => {
     await Promise.all([...hosts.values()].map(host => host.close()));
-    await platform?.stop(STOP_LIMIT_MILLIS);
+    await platform?.stop(STOP_TIMEOUT_MILLIS);
     block.dispose();
     await rm(directory, {recursive: true, force: true});
   };
 
-  const callPlatform = (
+  const sendPlatformControl = (
     method: string,
     path: string,
     content?: unknown,
   ): Promise<unknown> =>
-    callControl(Number(platform?.ready['control']), method, path, content);
+    sendControlRequest(
+      Number(platform?.ready['control']),
+      method,
+      path,
+      content,
+    );
 
   const findHost = (name: string): FleetHost => {
     const host = hosts.get(name);
@@ -127,13 +143,13 @@
     const policyService = plan.policy.services.find(
       s => s.name === identity.service,
     );
-    const ports = await takeHostPorts(block);
+    const ports = await allocateHostPorts(block);
     return createFleetHost({
       identity,
       directory,
       programDirectory: PROGRAM_DIRECTORY,
       daemonProgram: plan.daemonProgram,
-      platformPort: frontPort(platform, identity.availabilityZone),
+      platformPort: frontPortOf(platform, identity.availabilityZone),
       slotsCount: service?.slotsCount ?? policyService?.slotsCount ?? 1,
       routes: service?.routes ?? [],
       ports,
@@ -147,36 +163,40 @@
     bytes: Uint8Array,
     version: number,
   ): Promise<void> => {
-    await callPlatform('PUT', `/policy?version=${String(version)}`, bytes);
+    await sendPlatformControl(
+      'PUT',
+      `/policy?version=${String(version)}`,
+      bytes,
+    );
   };
 
   const publishHosts = async (
     nextStates: ReadonlyMap<string, PublishedHostState>,
   ): Promise<HostList> => {
     const entries = [...nextStates].map(([name, state]) => ({
-      ...findHost(name).published,
+      ...findHost(name).hostListEntry,
       state,
     }));
     states.clear();
     for (const [name, state] of nextStates) states.set(name, state);
     revision += 1;
     const list: HostList = {revision, hosts: entries};
-    await callPlatform('PUT', '/hosts', list);
+    await sendPlatformControl('PUT', '/hosts', list);
     return list;
   };
 
   /** Undefined when the host does not answer in time. */
-  const readAdmin = async (
+  const sendAdminRequest = async (
     name: string,
     path: string,
-  ): Promise<HttpAnswer | undefined> => {
+  ): Promise<HttpResponse | undefined> => {
     const {admin} = findHost(name).ports;
     try {
-      return await sendHttp({
+      return await sendHttpRequest({
         address: LOOPBACK_ADDRESS,
         port: admin,
         path,
-        signal: AbortSignal.timeout(ADMIN_LIMIT_MILLIS),
+        signal: AbortSignal.timeout(ADMIN_TIMEOUT_MILLIS),
       });
     } catch {
       return undefined;
@@ -184,11 +204,11 @@
   };
 
   const policyInForce = async (name: string): Promise<PolicyInForce> => {
-    const answer = await readAdmin(name, '/configuration');
-    if (answer?.statusCode !== 200) return NO_POLICY;
+    const response = await sendAdminRequest(name, '/configuration');
+    if (response?.statusCode !== 200) return NO_POLICY;
     return {
-      version: Number(answer.headers[CONFIGURATION_VERSION_HEADER] ?? '0'),
-      digest: answer.headers.etag ?? '',
+      version: Number(response.headers[CONFIGURATION_VERSION_HEADER] ?? '0'),
+      digest: response.headers.etag ?? '',
     };
   };
 
@@ -196,14 +216,14 @@
     (await policyInForce(name)).version;
 
   const isReady = async (name: string): Promise<boolean> =>
-    (await readAdmin(name, '/ready'))?.statusCode === 200;
+    (await sendAdminRequest(name, '/ready'))?.statusCode === 200;
 
   const waitUntilReady = async (
-    limitMillis: number,
+    timeoutMillis: number,
     names: readonly string[] = [...states.keys()],
   ): Promise<void> => {
     for (const name of names) {
-      if (await waitFor(limitMillis, () => isReady(name))) continue;
+      if (await waitFor(timeoutMillis, () => isReady(name))) continue;
       const log = findHost(name).daemon()?.log().slice(-5).join('\n');
       throw new BaseError(`${name} is not ready: ${String(log)}`, {
         props: {step: 'wait-until-ready', peer: name},
@@ -233,10 +253,10 @@
       hosts.set(identity.name, await createHost(identity));
       if (!spares.has(identity.name)) states.set(identity.name, 'live');
     }
-    await publishPolicyBytes(encode(plan.policy), plan.policy.version);
+    await publishPolicyBytes(encodeJson(plan.policy), plan.policy.version);
     await publishHosts(new Map(states));
-    await allEnded([...hosts.values()].map(host => host.startUpstream()));
-    await allEnded(
+    await waitForAll([...hosts.values()].map(host => host.startUpstream()));
+    await waitForAll(
       [...states.keys()].map(name => findHost(name).startDaemon()),
     );
   } catch (error) {
@@ -252,15 +272,15 @@
     host: findHost,
     startDaemon: name => findHost(name).startDaemon(),
     publishPolicy: (policy, etagVersion = policy.version) =>
-      publishPolicyBytes(encode(policy), etagVersion),
+      publishPolicyBytes(encodeJson(policy), etagVersion),
     publishPolicyBytes,
     publishHosts,
     publishedStates: () => new Map(states),
     setPlatformFault: async (frontName, fault) => {
-      await callPlatform('PUT', `/faults/${frontName}`, fault);
+      await sendPlatformControl('PUT', `/faults/${frontName}`, fault);
     },
     platformCounts: async () =>
-      (await callPlatform('GET', '/counts')) as PlatformCounts,
+      (await sendPlatformControl('GET', '/counts')) as PlatformCounts,
     setZoneLinkMode,
     versionInForce,
     policyInForce,
@@ -274,7 +294,7 @@
  * Like `Promise.all`, but waits for all even when one fails, so that a process
  * still starting is known by the time everything is closed.
  */
-async function allEnded(tasks: readonly Promise<void>[]): Promise<void> {
+async function waitForAll(tasks: readonly Promise<void>[]): Promise<void> {
   await Promise.allSettled(tasks);
   await Promise.all(tasks);
 }
@@ -287,11 +307,14 @@
   });
 }
 
-function frontPort(platform: ManagedProcess | undefined, name: string): number {
+function frontPortOf(
+  platform: ManagedProcess | undefined,
+  name: string,
+): number {
   const ports = platform?.ready['fronts'] as Readonly<Record<string, number>>;
   return ports[name] ?? 0;
 }
 
-function encode(content: unknown): Uint8Array {
+function encodeJson(content: unknown): Uint8Array {
   return Buffer.from(JSON.stringify(content));
 }
--- a/src/emulator/held_answers.ts
+++ b/src/emulator/held_responses.ts
@@ -4,28 +4,28 @@
  */
 
 /** Held answers of one stand-in. */
-export interface HeldAnswers {
+export interface HeldResponses {
   /** Resolves when held answers are let go, or the client has gone away. */
   wait(signal: AbortSignal): Promise<void>;
   release(): void;
 }
 
 /** Creates the record of a stand-in that holds nothing. */
-export function createHeldAnswers(): HeldAnswers {
-  const held = new Set<() => void>();
+export function createHeldResponses(): HeldResponses {
+  const waiting = new Set<() => void>();
   return {
     wait: signal =>
       new Promise(resolve => {
         const finish = (): void => {
-          held.delete(finish);
+          waiting.delete(finish);
           signal.removeEventListener('abort', finish);
           resolve();
         };
-        held.add(finish);
+        waiting.add(finish);
         signal.addEventListener('abort', finish, {once: true});
       }),
     release: () => {
-      for (const release of [...held]) release();
+      for (const release of [...waiting]) release();
     },
   };
 }
--- a/src/emulator/http_support.ts
+++ b/src/emulator/http_support.ts
@@ -38,9 +38,7 @@
 }
 
 /** Reads a message to its end; rejects when it breaks off or is too large. */
-export async function readWhole(
-  message: http.IncomingMessage,
-): Promise<Buffer> {
+export async function readBody(message: http.IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let lengthBytes = 0;
   for await (const chunk of message as AsyncIterable<Buffer>) {
@@ -82,7 +80,7 @@
 }
 
 /** A complete answer. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly statusCode: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: Buffer;
@@ -92,7 +90,9 @@
  * Sends one request and reads the whole answer; rejects with a TransportError
  * when the connection fails or the answer breaks off.
  */
-export function sendHttp(options: HttpRequestOptions): Promise<HttpAnswer> {
+export function sendHttpRequest(
+  options: HttpRequestOptions,
+): Promise<HttpResponse> {
   const peer = `${options.address}:${String(options.port)}`;
   return new Promise((resolve, reject) => {
     const fail = (step: string, error: unknown): void => {
@@ -112,7 +112,7 @@
         signal: options.signal,
       },
       message => {
-        readWhole(message).then(
+        readBody(message).then(
           body => {
             resolve({
               statusCode: message.statusCode ?? 0,
@@ -134,13 +134,13 @@
 }
 
 /** Sends a JSON document to a control port; throws unless it answers 200. */
-export async function callControl(
+export async function sendControlRequest(
   port: number,
   method: string,
   path: string,
   content?: unknown,
 ): Promise<unknown> {
-  const answer = await sendHttp({
+  const response = await sendHttpRequest({
     address: LOOPBACK_ADDRESS,
     port,
     method,
@@ -148,13 +148,13 @@
     body: encodeContent(content),
     agent: new http.Agent({keepAlive: false}),
   });
-  if (answer.statusCode !== 200) {
+  if (response.statusCode !== 200) {
     throw new BaseError(
-      `${method} ${path}: ${String(answer.statusCode)} ${answer.body.toString()}`,
+      `${method} ${path}: ${String(response.statusCode)} ${response.body.toString()}`,
       {props: {step: 'control', peer: `port ${String(port)}`}},
     );
   }
-  return JSON.parse(answer.body.toString()) as unknown;
+  return JSON.parse(response.body.toString()) as unknown;
 }
 
 function encodeContent(content: unknown): Uint8Array | undefined {
@@ -176,7 +176,7 @@
  */
 export function createControlServer(handler: ControlHandler): http.Server {
   return http.createServer((request, response) => {
-    readWhole(request)
+    readBody(request)
       .then(body => handler(request.method ?? '', request.url ?? '/', body))
       .then(content => {
         if (content === undefined) sendJson(response, 404, 'no such operation');
--- a/src/emulator/ilorin_services.ts
+++ b/src/emulator/ilorin_services.ts
@@ -3,7 +3,7 @@
  * of orderdesk, tileyard, atlas and catalogue, four deep.
  */
 import type {ServicePlan} from './fleet_plan.js';
-import {createRouteBuilder, readCall} from './service_routes.js';
+import {createRouteBuilder, createGetCall} from './service_routes.js';
 import type {PlannedCall, UpstreamRoute} from './upstream_config.js';
 
 /** Median service times, in milliseconds, of one upstream. */
@@ -45,9 +45,9 @@
 }
 
 function orderdeskRoutes(serviceMillis: number): readonly UpstreamRoute[] {
-  const price = readCall('catalogue', '/prices/p7');
-  const stock = readCall('catalogue', '/stock/p7');
-  const tile = readCall('tileyard', '/tiles/9/1/2');
+  const price = createGetCall('catalogue', '/prices/p7');
+  const stock = createGetCall('catalogue', '/stock/p7');
+  const tile = createGetCall('tileyard', '/tiles/9/1/2');
   const taking: PlannedCall = {
     service: 'catalogue',
     method: 'POST',
@@ -66,8 +66,8 @@
 }
 
 function tileyardRoutes(serviceMillis: number): readonly UpstreamRoute[] {
-  const coverage = readCall('atlas', '/coverage/9/1/2');
-  const product = readCall('catalogue', '/products/p7');
+  const coverage = createGetCall('atlas', '/coverage/9/1/2');
+  const product = createGetCall('catalogue', '/products/p7');
   const tile = createRouteBuilder(serviceMillis, TILE_ANSWER_BYTES);
   const grid = createRouteBuilder(serviceMillis, GRID_ANSWER_BYTES);
   return [
@@ -79,7 +79,7 @@
 }
 
 function atlasRoutes(serviceMillis: number): readonly UpstreamRoute[] {
-  const product = readCall('catalogue', '/products/p7');
+  const product = createGetCall('catalogue', '/products/p7');
   const route = createRouteBuilder(serviceMillis, SMALL_ANSWER_BYTES);
   return [
     route('GET', '/survey-records', [[product]]),
--- a/src/emulator/load_generator.ts
+++ b/src/emulator/load_generator.ts
@@ -8,13 +8,18 @@
 import {v7 as uuid} from 'uuid';
 import type {CallerResult} from './caller.js';
 import {sendCallerRequest} from './caller.js';
-import type {CallerHabits, LoadFlow, LoadPhase, LoadPlan} from './load_plan.js';
+import type {
+  CallerRetryOptions,
+  LoadFlow,
+  LoadPhase,
+  LoadPlan,
+} from './load_plan.js';
 import type {FlowRecorder, LoadReport} from './load_report.js';
 import {createBucketRecorder, createFlowRecorder} from './load_report.js';
 import type {SeededRandom} from './seeded_random.js';
 import {createSeededRandom} from './seeded_random.js';
 
-const DEFAULT_IN_PROGRESS_COUNT = 20_000;
+const DEFAULT_MAXIMUM_IN_PROGRESS_COUNT = 20_000;
 const DEFAULT_BUCKET_MILLIS = 250;
 const MILLIS_PER_SECOND = 1000;
 
@@ -41,7 +46,8 @@
   const buckets = createBucketRecorder(
     plan.bucketMillis ?? DEFAULT_BUCKET_MILLIS,
   );
-  const maximumCount = plan.maximumInProgressCount ?? DEFAULT_IN_PROGRESS_COUNT;
+  const maximumCount =
+    plan.maximumInProgressCount ?? DEFAULT_MAXIMUM_IN_PROGRESS_COUNT;
   const startMillis = performance.now();
   const inProgress = new Set<Promise<void>>();
   const goodNames: string[] = [];
@@ -49,7 +55,7 @@
   let droppedCount = 0;
   let arrivalLagMaximumMillis = 0;
 
-  const arrive = (scheduled: Omit<Arrival, 'arrivedMillis'>): void => {
+  const startRequest = (scheduled: Omit<Arrival, 'arrivedMillis'>): void => {
     const nowMillis = performance.now();
     const arrivedMillis = nowMillis - startMillis;
     const arrival = {...scheduled, arrivedMillis};
@@ -61,12 +67,14 @@
       droppedCount += 1;
       return;
     }
-    const task = pursue(arrival).finally(() => inProgress.delete(task));
+    const task = sendWithRetries(arrival).finally(() =>
+      inProgress.delete(task),
+    );
     inProgress.add(task);
   };
 
   /** Sends attempts until one is good or the caller gives up. */
-  const pursue = async (arrival: Arrival): Promise<void> => {
+  const sendWithRetries = async (arrival: Arrival): Promise<void> => {
     const {flow, recorder, random, scheduledMillis} = arrival;
     const {habits} = flow;
     const name = uuid();
@@ -79,7 +87,7 @@
       const leftMillis = endMillis - performance.now();
       if (leftMillis <= 0) return;
       const result = await sendCallerRequest({
-        port: choose(plan.ports, random),
+        port: choosePort(plan.ports, random),
         service: flow.service,
         method: flow.method,
         path: flow.path,
@@ -98,13 +106,13 @@
         buckets.recordGood({
           className: flow.className,
           arrivedMillis: arrival.arrivedMillis,
-          answeredMillis: nowMillis - startMillis,
+          respondedMillis: nowMillis - startMillis,
         });
         if (plan.areNamesKept === true) goodNames.push(name);
         return;
       }
-      if (!isRepeated(habits, result)) return;
-      await sleep(pauseMillis(habits, result));
+      if (!shouldRetry(habits, result)) return;
+      await sleep(retryDelayMillis(habits, result));
     }
   };
 
@@ -127,7 +135,7 @@
       const waitMillis = scheduledMillis - performance.now();
       if (waitMillis > 0) await sleep(Math.ceil(waitMillis));
       if (signal?.aborted === true) return;
-      arrive({flow, recorder, random: attemptRandom, scheduledMillis});
+      startRequest({flow, recorder, random: attemptRandom, scheduledMillis});
     }
   };
 
@@ -165,11 +173,17 @@
   }
 }
 
-function isRepeated(habits: CallerHabits, result: CallerResult): boolean {
+function shouldRetry(
+  habits: CallerRetryOptions,
+  result: CallerResult,
+): boolean {
   return habits.repeatsAfter === 'any' || result.outcome === 'not-run';
 }
 
-function pauseMillis(habits: CallerHabits, result: CallerResult): number {
+function retryDelayMillis(
+  habits: CallerRetryOptions,
+  result: CallerResult,
+): number {
   const {retryAfterMillis} = result;
   if (habits.honoursRetryAfter && retryAfterMillis !== undefined) {
     return Math.max(habits.pauseMillis, retryAfterMillis);
@@ -177,6 +191,6 @@
   return habits.pauseMillis;
 }
 
-function choose(ports: readonly number[], random: SeededRandom): number {
+function choosePort(ports: readonly number[], random: SeededRandom): number {
   return ports[Math.floor(random.next() * ports.length)] ?? 0;
 }
--- a/src/emulator/load_main.ts
+++ b/src/emulator/load_main.ts
@@ -7,7 +7,7 @@
 import {hideBin} from 'yargs/helpers';
 import {generateLoad} from './load_generator.js';
 import type {LoadPlan} from './load_plan.js';
-import {failProcess} from './process_support.js';
+import {exitWithError} from './process_support.js';
 
 async function main(): Promise<void> {
   const args = await yargs(hideBin(process.argv))
@@ -27,4 +27,4 @@
   process.stdout.write(`${JSON.stringify(report)}\n`);
 }
 
-main().catch(failProcess);
+main().catch(exitWithError);
--- a/src/emulator/load_plan.ts
+++ b/src/emulator/load_plan.ts
@@ -3,7 +3,7 @@
  */
 
 /** How a caller goes on after a failure. */
-export interface CallerHabits {
+export interface CallerRetryOptions {
   /** How long it waits for one answer. */
   readonly attemptTimeoutMillis: number;
   /** How long the whole request is worth anything to it. */
@@ -27,7 +27,7 @@
   readonly path: string;
   readonly ratePerSecond: number;
   readonly bodyBytes?: number | undefined;
-  readonly habits: CallerHabits;
+  readonly habits: CallerRetryOptions;
 }
 
 /** A stretch of the run; rates are multiplied by the factor. */
--- a/src/emulator/load_report.ts
+++ b/src/emulator/load_report.ts
@@ -95,8 +95,8 @@
         result.retriesSpentCount,
       );
       if (result.kind !== 'failed') return;
-      addOne(outcomes, result.outcome ?? 'upstream-answer');
-      addOne(reasons, result.reason || String(result.statusCode));
+      incrementCount(outcomes, result.outcome ?? 'upstream-answer');
+      incrementCount(reasons, result.reason || String(result.statusCode));
     },
     recordGood: latencyMillis => {
       goodCount += 1;
@@ -124,16 +124,16 @@
 }
 
 /** A good answer; times count from the start of the run. */
-export interface GoodAnswer {
+export interface GoodResponse {
   readonly className: string;
   readonly arrivedMillis: number;
-  readonly answeredMillis: number;
+  readonly respondedMillis: number;
 }
 
 /** Gathers arrivals and good answers over time. */
 export interface BucketRecorder {
   recordOffered(elapsedMillis: number, className: string): void;
-  recordGood(answer: GoodAnswer): void;
+  recordGood(response: GoodResponse): void;
   report(): readonly LoadBucket[];
 }
 
@@ -151,11 +151,11 @@
   };
   return {
     recordOffered: (elapsedMillis, className) => {
-      addOne(bucketAt(elapsedMillis).offered, className);
+      incrementCount(bucketAt(elapsedMillis).offered, className);
     },
-    recordGood: ({className, arrivedMillis, answeredMillis}) => {
-      addOne(bucketAt(answeredMillis).good, className);
-      addOne(bucketAt(arrivedMillis).goodByArrival, className);
+    recordGood: ({className, arrivedMillis, respondedMillis}) => {
+      incrementCount(bucketAt(respondedMillis).good, className);
+      incrementCount(bucketAt(arrivedMillis).goodByArrival, className);
     },
     report: () =>
       buckets.map((bucket, i) => ({startMillis: i * bucketMillis, ...bucket})),
@@ -166,6 +166,6 @@
   return {offered: {}, good: {}, goodByArrival: {}};
 }
 
-function addOne(counts: Record<string, number>, name: string): void {
+function incrementCount(counts: Record<string, number>, name: string): void {
   counts[name] = (counts[name] ?? 0) + 1;
 }
--- a/src/emulator/managed_process.ts
+++ b/src/emulator/managed_process.ts
@@ -36,17 +36,17 @@
   readonly exited: Promise<ProcessExit>;
   signal(signal: NodeJS.Signals): void;
   /** SIGTERM, then SIGKILL when it has not ended in time. */
-  stop(limitMillis: number): Promise<ProcessExit>;
+  stop(timeoutMillis: number): Promise<ProcessExit>;
 }
 
-const KEPT_LINES_COUNT = 500;
-const READY_LIMIT_MILLIS = 30_000;
+const LOG_LINES_COUNT = 500;
+const READY_TIMEOUT_MILLIS = 30_000;
 
 /** Processes still running, so that none outlives this one. */
-const running = new Set<number>();
+const runningPids = new Set<number>();
 
 process.on('exit', () => {
-  for (const pid of running) killQuietly(pid);
+  for (const pid of runningPids) killIfRunning(pid);
 });
 
 /** Starts a program and resolves when it has printed its ready line. */
@@ -59,27 +59,27 @@
   const {pid} = child;
   const lines: string[] = [];
   let isEnded = false;
-  if (pid !== undefined) running.add(pid);
+  if (pid !== undefined) runningPids.add(pid);
 
-  const keep = (line: string): void => {
+  const recordLine = (line: string): void => {
     lines.push(line);
-    if (lines.length > KEPT_LINES_COUNT) lines.shift();
+    if (lines.length > LOG_LINES_COUNT) lines.shift();
   };
   const exited = new Promise<ProcessExit>(resolve => {
     child.once('close', (code, signal) => {
       isEnded = true;
-      if (pid !== undefined) running.delete(pid);
+      if (pid !== undefined) runningPids.delete(pid);
       resolve({code, signal});
     });
   });
-  const fail = (reason: string): Error =>
+  const createStartError = (reason: string): Error =>
     new BaseError(`${options.name} ${reason}: ${lines.slice(-5).join(' | ')}`, {
       props: {step: 'start-program', peer: options.name},
     });
 
-  const stop = async (limitMillis: number): Promise<ProcessExit> => {
+  const stop = async (timeoutMillis: number): Promise<ProcessExit> => {
     if (!isEnded) child.kill('SIGTERM');
-    const timer = setTimeout(() => child.kill('SIGKILL'), limitMillis);
+    const timer = setTimeout(() => child.kill('SIGKILL'), timeoutMillis);
     try {
       return await exited;
     } finally {
@@ -90,16 +90,16 @@
   return new Promise((resolve, reject) => {
     const timer = setTimeout(() => {
       child.kill('SIGKILL');
-      reject(fail('was not ready in time'));
-    }, READY_LIMIT_MILLIS);
+      reject(createStartError('was not ready in time'));
+    }, READY_TIMEOUT_MILLIS);
     child.once('error', reject);
     void exited.then(() => {
       clearTimeout(timer);
-      reject(fail('ended before it was ready'));
+      reject(createStartError('ended before it was ready'));
     });
-    createInterface({input: child.stderr}).on('line', keep);
+    createInterface({input: child.stderr}).on('line', recordLine);
     createInterface({input: child.stdout}).on('line', line => {
-      keep(line);
+      recordLine(line);
       const ready = parseReadyLine(line);
       if (ready === undefined || pid === undefined) return;
       clearTimeout(timer);
@@ -125,7 +125,7 @@
   return JSON.parse(line) as ReadyLine;
 }
 
-function killQuietly(pid: number): void {
+function killIfRunning(pid: number): void {
   try {
     process.kill(pid, 'SIGKILL');
   } catch {
--- a/src/emulator/platform_main.ts
+++ b/src/emulator/platform_main.ts
@@ -4,9 +4,13 @@
 import {readFile} from 'node:fs/promises';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
-import type {PlatformFrontOptions} from './stand_in_platform.js';
-import {createStandInPlatform} from './stand_in_platform.js';
-import {announceReady, exitOnSignal, failProcess} from './process_support.js';
+import type {PlatformFrontOptions} from './emulated_platform.js';
+import {createEmulatedPlatform} from './emulated_platform.js';
+import {
+  printReadyLine,
+  exitOnSignal,
+  exitWithError,
+} from './process_support.js';
 
 /** Reads `name=port`. */
 function parseFront(text: string): PlatformFrontOptions {
@@ -23,7 +27,7 @@
     .option('hosts', {type: 'string', describe: 'host list to publish'})
     .strict()
     .parseAsync();
-  const platform = await createStandInPlatform({
+  const platform = await createEmulatedPlatform({
     port: args.port,
     controlPort: args.controlPort,
     fronts: args.front.map(parseFront),
@@ -35,11 +39,11 @@
     platform.publish('hosts', await readFile(args.hosts));
   }
   exitOnSignal(platform.close);
-  announceReady({
+  printReadyLine({
     port: platform.port,
     control: platform.controlPort,
     fronts: Object.fromEntries(platform.frontPorts),
   });
 }
 
-main().catch(failProcess);
+main().catch(exitWithError);
--- a/src/emulator/port_block.ts
+++ b/src/emulator/port_block.ts
@@ -18,7 +18,7 @@
 /** A range of ports that no other fleet on this machine uses. */
 export interface PortBlock extends Disposable {
   /** Takes the next port that nothing listens on. */
-  take(): Promise<number>;
+  allocatePort(): Promise<number>;
 }
 
 /**
@@ -30,18 +30,18 @@
   for (let i = 0; i < BLOCKS_COUNT; i += 1) {
     const index = (start + i) % BLOCKS_COUNT;
     const firstPort = FIRST_PORT + index * BLOCK_SIZE;
-    const guard = await tryListen(firstPort);
-    if (guard !== undefined) return createBlock(firstPort, guard);
+    const guardServer = await tryListen(firstPort);
+    if (guardServer !== undefined) return createBlock(firstPort, guardServer);
   }
   throw new CapacityError('no block of free ports', {
     props: {step: 'claim-ports'},
   });
 }
 
-function createBlock(firstPort: number, guard: Server): PortBlock {
+function createBlock(firstPort: number, guardServer: Server): PortBlock {
   let nextPort = firstPort + 1;
   return {
-    take: async () => {
+    allocatePort: async () => {
       while (nextPort < firstPort + BLOCK_SIZE) {
         const port = nextPort;
         nextPort += 1;
@@ -55,7 +55,7 @@
       });
     },
     dispose: () => {
-      guard.close();
+      guardServer.close();
     },
   };
 }
--- a/src/emulator/process_support.ts
+++ b/src/emulator/process_support.ts
@@ -5,7 +5,7 @@
 import {describeError} from '../base/errors.js';
 
 /** Tells the parent process which ports are open. */
-export function announceReady(ports: Readonly<Record<string, unknown>>): void {
+export function printReadyLine(ports: Readonly<Record<string, unknown>>): void {
   process.stdout.write(`${JSON.stringify({ready: true, ...ports})}\n`);
 }
 
@@ -18,7 +18,7 @@
     stop().then(
       () => process.exit(0),
       (error: unknown) => {
-        failProcess(error);
+        exitWithError(error);
       },
     );
   };
@@ -27,7 +27,7 @@
 }
 
 /** Ends the process with one line on standard error. */
-export function failProcess(error: unknown): never {
+export function exitWithError(error: unknown): never {
   process.stderr.write(`${describeError(error)}\n`);
   process.exit(1);
 }
--- a/src/emulator/answer_body.ts
+++ b/src/emulator/response_body.ts
@@ -5,7 +5,7 @@
 import {createHash} from 'node:crypto';
 
 /** What a body states about itself, as its first line. */
-export interface AnswerHead {
+export interface ResponseBodyHeader {
   readonly request: string;
   readonly service: string;
   readonly host: string;
@@ -19,7 +19,7 @@
 }
 
 /** What the client of an answer knows about its own request. */
-export interface ExpectedAnswer {
+export interface ExpectedResponse {
   readonly request: string;
   readonly path: string;
   readonly requestDigest: string;
@@ -28,48 +28,51 @@
 const LINE_FEED = 0x0a;
 
 /** SHA-256 in hex of a request body; empty text for an empty body. */
-export function digestOf(body: Uint8Array | undefined): string {
+export function hashBody(body: Uint8Array | undefined): string {
   if (body === undefined || body.byteLength === 0) return '';
   return createHash('sha256').update(body).digest('hex');
 }
 
 /** Builds a body of at least `totalBytes`, padded with the request's name. */
-export function createAnswerBody(
-  head: Omit<AnswerHead, 'paddingBytes'>,
+export function createResponseBody(
+  header: Omit<ResponseBodyHeader, 'paddingBytes'>,
   totalBytes: number,
 ): Buffer {
-  const bareBytes = JSON.stringify({...head, paddingBytes: 0}).length + 1;
-  const paddingBytes = Math.max(0, totalBytes - bareBytes);
-  const line = Buffer.from(`${JSON.stringify({...head, paddingBytes})}\n`);
-  return Buffer.concat([line, createPadding(head.request, paddingBytes)]);
+  const unpaddedBytes = JSON.stringify({...header, paddingBytes: 0}).length + 1;
+  const paddingBytes = Math.max(0, totalBytes - unpaddedBytes);
+  const line = Buffer.from(`${JSON.stringify({...header, paddingBytes})}\n`);
+  return Buffer.concat([line, createPadding(header.request, paddingBytes)]);
 }
 
 /** Tells what is wrong with a body, or undefined when it is whole and own. */
-export function findAnswerProblem(
+export function findResponseProblem(
   body: Buffer,
-  expected: ExpectedAnswer,
+  expected: ExpectedResponse,
 ): string | undefined {
-  const end = body.indexOf(LINE_FEED);
-  if (end < 0) return 'answer without a first line';
-  let head: AnswerHead;
+  const headerEnd = body.indexOf(LINE_FEED);
+  if (headerEnd < 0) return 'answer without a first line';
+  let header: ResponseBodyHeader;
   try {
-    head = JSON.parse(body.subarray(0, end).toString()) as AnswerHead;
+    header = JSON.parse(
+      body.subarray(0, headerEnd).toString(),
+    ) as ResponseBodyHeader;
   } catch {
     return 'first line is not JSON';
   }
-  if (head.request !== expected.request) {
-    return `answer belongs to request '${head.request}'`;
+  if (header.request !== expected.request) {
+    return `answer belongs to request '${header.request}'`;
   }
-  if (head.path !== expected.path) return `answer belongs to '${head.path}'`;
-  if (head.requestDigest !== expected.requestDigest) {
+  if (header.path !== expected.path)
+    return `answer belongs to '${header.path}'`;
+  if (header.requestDigest !== expected.requestDigest) {
     return 'answer belongs to a request with another body';
   }
-  const padding = body.subarray(end + 1);
-  if (padding.byteLength !== head.paddingBytes) {
-    return `answer has ${String(padding.byteLength)} of ${String(head.paddingBytes)} bytes`;
+  const padding = body.subarray(headerEnd + 1);
+  if (padding.byteLength !== header.paddingBytes) {
+    return `answer has ${String(padding.byteLength)} of ${String(header.paddingBytes)} bytes`;
   }
   const isIntact = padding.equals(
-    createPadding(head.request, head.paddingBytes),
+    createPadding(header.request, header.paddingBytes),
   );
   return isIntact ? undefined : 'answer has altered bytes';
 }
--- a/src/emulator/service_routes.ts
+++ b/src/emulator/service_routes.ts
@@ -14,7 +14,7 @@
 ) => UpstreamRoute;
 
 /** A GET without a body. */
-export function readCall(service: string, path: string): PlannedCall {
+export function createGetCall(service: string, path: string): PlannedCall {
   return {service, method: 'GET', path};
 }
 
--- a/src/emulator/slot_pool.ts
+++ b/src/emulator/slot_pool.ts
@@ -32,14 +32,14 @@
       if (waiting.length >= queueCount) return Promise.resolve(false);
       return new Promise(resolve => {
         const onAbort = (): void => {
-          waiting.splice(waiting.indexOf(proceed), 1);
+          waiting.splice(waiting.indexOf(onSlotFree), 1);
           resolve(false);
         };
-        const proceed = (): void => {
+        const onSlotFree = (): void => {
           signal.removeEventListener('abort', onAbort);
           resolve(true);
         };
-        waiting.push(proceed);
+        waiting.push(onSlotFree);
         signal.addEventListener('abort', onAbort, {once: true});
       });
     },
--- a/src/emulator/socket_owner.ts
+++ b/src/emulator/socket_owner.ts
@@ -10,7 +10,7 @@
 const HEX_RADIX = 16;
 
 /** Whether this system tells who owns a socket. */
-export function canFindOwners(): boolean {
+export function canFindSocketOwners(): boolean {
   return existsSync(SOCKET_TABLE);
 }
 
@@ -25,15 +25,15 @@
 export function createSocketOwnerFinder(
   listPids: () => readonly number[],
 ): SocketOwnerFinder {
-  let search: Promise<ReadonlyMap<number, number>> | undefined;
+  let pendingSearch: Promise<ReadonlyMap<number, number>> | undefined;
   return async port => {
-    search ??= new Promise(resolve => {
+    pendingSearch ??= new Promise(resolve => {
       setImmediate(() => {
-        search = undefined;
+        pendingSearch = undefined;
         resolve(findOwners(listPids()));
       });
     });
-    return (await search).get(port);
+    return (await pendingSearch).get(port);
   };
 }
 
@@ -52,7 +52,7 @@
 
 function readPortsByInode(): ReadonlyMap<string, number> {
   const ports = new Map<string, number>();
-  const table = canFindOwners() ? readFileSync(SOCKET_TABLE, 'utf8') : '';
+  const table = canFindSocketOwners() ? readFileSync(SOCKET_TABLE, 'utf8') : '';
   for (const line of table.split('\n').slice(1)) {
     const fields = line.trim().split(/\s+/);
     const portText = fields[LOCAL_FIELD]?.split(':')[1] ?? '';
@@ -68,7 +68,7 @@
   const inodes: string[] = [];
   try {
     for (const descriptor of readdirSync(directory)) {
-      const match = SOCKET_LINK.exec(readLinkQuietly(directory, descriptor));
+      const match = SOCKET_LINK.exec(readLinkIfOpen(directory, descriptor));
       if (match?.[1] !== undefined) inodes.push(match[1]);
     }
   } catch {
@@ -79,7 +79,7 @@
 
 const SOCKET_LINK = /^socket:\[(\d+)\]$/;
 
-function readLinkQuietly(directory: string, descriptor: string): string {
+function readLinkIfOpen(directory: string, descriptor: string): string {
   try {
     return readlinkSync(`${directory}/${descriptor}`);
   } catch {
--- a/src/emulator/tunis_services.ts
+++ b/src/emulator/tunis_services.ts
@@ -3,7 +3,7 @@
  * bookings, crewboard, fieldlib and dispatch.
  */
 import type {ServicePlan} from './fleet_plan.js';
-import {createRouteBuilder, readCall} from './service_routes.js';
+import {createRouteBuilder, createGetCall} from './service_routes.js';
 import type {PlannedCall, UpstreamRoute} from './upstream_config.js';
 
 /** Median service times, in milliseconds, of one upstream. */
@@ -36,10 +36,10 @@
 }
 
 function bookingsRoutes(serviceMillis: number): readonly UpstreamRoute[] {
-  const availability = readCall('dispatch', '/availability/monday');
-  const treatment = readCall('fieldlib', '/treatments/wool/wine');
-  const assignment = write('dispatch', '/assignments');
-  const jobSheet = write('crewboard', '/job-sheets');
+  const availability = createGetCall('dispatch', '/availability/monday');
+  const treatment = createGetCall('fieldlib', '/treatments/wool/wine');
+  const assignment = createPostCall('dispatch', '/assignments');
+  const jobSheet = createPostCall('crewboard', '/job-sheets');
   const route = createRouteBuilder(serviceMillis, SMALL_ANSWER_BYTES);
   return [
     route('POST', '/hotel-bookings', [[availability], [assignment, jobSheet]]),
@@ -52,8 +52,8 @@
 }
 
 function crewboardRoutes(serviceMillis: number): readonly UpstreamRoute[] {
-  const position = readCall('dispatch', '/vans/v7/position');
-  const manual = readCall('fieldlib', '/manuals/m7');
+  const position = createGetCall('dispatch', '/vans/v7/position');
+  const manual = createGetCall('fieldlib', '/manuals/m7');
   const route = createRouteBuilder(serviceMillis, SMALL_ANSWER_BYTES);
   return [
     route('GET', '/crews/:crewId/job-sheets', [[position]]),
@@ -87,6 +87,6 @@
   ];
 }
 
-function write(service: string, path: string): PlannedCall {
+function createPostCall(service: string, path: string): PlannedCall {
   return {service, method: 'POST', path, bodyBytes: 120};
 }
--- a/src/emulator/upstream_calls.ts
+++ b/src/emulator/upstream_calls.ts
@@ -6,11 +6,11 @@
 import type {IncomingMessage} from 'node:http';
 import type {Disposable} from '../base/lifecycle.js';
 import {FULMARHOLLOW_HEADERS} from '../protocol/fulmarhollow_headers.js';
-import {digestOf, findAnswerProblem} from './answer_body.js';
+import {hashBody, findResponseProblem} from './response_body.js';
 import type {Execution} from './execution_record.js';
-import {REQUEST_PARAMETER, callTarget} from './execution_record.js';
-import type {HttpAnswer} from './http_support.js';
-import {LOOPBACK_ADDRESS, sendHttp} from './http_support.js';
+import {REQUEST_PARAMETER, callTargetKey} from './execution_record.js';
+import type {HttpResponse} from './http_support.js';
+import {LOOPBACK_ADDRESS, sendHttpRequest} from './http_support.js';
 import type {
   ContextMode,
   PlannedCall,
@@ -44,13 +44,13 @@
     execution: Execution,
     fault: UpstreamFault,
   ): Promise<CallsResult>;
-  wrongAnswersCount(): number;
+  wrongResponsesCount(): number;
 }
 
 /** Creates the calling side of an upstream. */
 export function createUpstreamCalls(config: UpstreamConfig): UpstreamCalls {
   const agent = new http.Agent({keepAlive: true});
-  let wrongAnswersCount = 0;
+  let wrongResponsesCount = 0;
   let previousId: string | undefined;
   let callsCount = 0;
 
@@ -59,12 +59,12 @@
     origin: CallOrigin,
     mode: ContextMode,
   ): string | undefined => {
-    const own = origin.request.headers[FULMARHOLLOW_HEADERS.attemptId] as
+    const ownId = origin.request.headers[FULMARHOLLOW_HEADERS.attemptId] as
       string | undefined;
-    const previous = previousId;
-    previousId = own;
+    const earlierId = previousId;
+    previousId = ownId;
     if (mode === 'drop') return undefined;
-    return mode === 'previous' ? (previous ?? own) : own;
+    return mode === 'previous' ? (earlierId ?? ownId) : ownId;
   };
 
   /** Each call has an id of its own below that of its request. */
@@ -85,9 +85,9 @@
         ? undefined
         : Buffer.alloc(call.bodyBytes, `${origin.name};`);
     const query = `${REQUEST_PARAMETER}=${encodeURIComponent(origin.name)}`;
-    let answer: HttpAnswer;
+    let response: HttpResponse;
     try {
-      answer = await sendHttp({
+      response = await sendHttpRequest({
         address: config.localAddress ?? LOOPBACK_ADDRESS,
         port: config.localPort,
         method: call.method,
@@ -100,14 +100,14 @@
     } catch {
       return 0;
     }
-    if (answer.statusCode !== 200) return answer.statusCode;
-    const problem = findAnswerProblem(answer.body, {
+    if (response.statusCode !== 200) return response.statusCode;
+    const problem = findResponseProblem(response.body, {
       request: origin.name,
       path: call.path,
-      requestDigest: digestOf(body),
+      requestDigest: hashBody(body),
     });
-    if (problem === undefined) return answer.statusCode;
-    wrongAnswersCount += 1;
+    if (problem === undefined) return response.statusCode;
+    wrongResponsesCount += 1;
     return 0;
   };
 
@@ -116,10 +116,10 @@
       const statusCodes: number[] = [];
       if (stages.length === 0) return {isSuccess: true, statusCodes};
       const parentId = chooseParentId(origin, fault.contextMode);
-      const send = async (call: PlannedCall): Promise<number> => {
+      const sendWithRetries = async (call: PlannedCall): Promise<number> => {
         let statusCode = 0;
         for (let i = 0; i <= fault.callRepeatsCount; i += 1) {
-          const target = callTarget(call.service, call.path);
+          const target = callTargetKey(call.service, call.path);
           execution.calls[target] = (execution.calls[target] ?? 0) + 1;
           statusCode = await sendOnce(call, origin, parentId);
           if (statusCode === 200) break;
@@ -127,7 +127,7 @@
         return statusCode;
       };
       for (const stage of stages) {
-        const results = await Promise.all(stage.map(send));
+        const results = await Promise.all(stage.map(sendWithRetries));
         // Work for a client that has gone away is wasted.
         origin.signal.throwIfAborted();
         statusCodes.push(...results);
@@ -138,7 +138,7 @@
       }
       return {isSuccess: true, statusCodes};
     },
-    wrongAnswersCount: () => wrongAnswersCount,
+    wrongResponsesCount: () => wrongResponsesCount,
     dispose: () => {
       agent.destroy();
     },
--- a/src/emulator/upstream_main.ts
+++ b/src/emulator/upstream_main.ts
@@ -4,8 +4,12 @@
 import {readFile} from 'node:fs/promises';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
-import {announceReady, exitOnSignal, failProcess} from './process_support.js';
-import {createStandInUpstream} from './stand_in_upstream.js';
+import {
+  printReadyLine,
+  exitOnSignal,
+  exitWithError,
+} from './process_support.js';
+import {createEmulatedUpstream} from './emulated_upstream.js';
 import type {UpstreamConfig} from './upstream_config.js';
 
 async function main(): Promise<void> {
@@ -18,11 +22,11 @@
     .strict()
     .parseAsync();
   const text = await readFile(args.config, 'utf8');
-  const upstream = await createStandInUpstream(
+  const upstream = await createEmulatedUpstream(
     JSON.parse(text) as UpstreamConfig,
   );
   exitOnSignal(upstream.close);
-  announceReady({port: upstream.port, control: upstream.controlPort});
+  printReadyLine({port: upstream.port, control: upstream.controlPort});
 }
 
-main().catch(failProcess);
+main().catch(exitWithError);
--- a/src/emulator/upstream_answers.ts
+++ b/src/emulator/upstream_responses.ts
@@ -10,7 +10,7 @@
 import type {CutPosition, UpstreamRoute} from './upstream_config.js';
 
 /** Answers without a body. */
-export function sendPlain(
+export function sendEmptyResponse(
   response: ServerResponse,
   statusCode: number,
   headers: OutgoingHttpHeaders = {},
@@ -19,7 +19,7 @@
 }
 
 /** Headers of a whole answer. */
-export function answerHeaders(
+export function responseHeaders(
   route: UpstreamRoute,
   body: Buffer,
 ): OutgoingHttpHeaders {
@@ -36,7 +36,7 @@
 }
 
 /** Breaks off within the status line and headers. */
-export function cutHeaders(request: IncomingMessage): void {
+export function sendPartialHeaders(request: IncomingMessage): void {
   const {socket} = request;
   socket.write('HTTP/1.1 200 OK\r\ncontent-ty', () => {
     socket.destroy();
@@ -44,14 +44,14 @@
 }
 
 /** Breaks off within the body, as an upstream that dies would. */
-export function cutBody(
+export function sendPartialBody(
   response: ServerResponse,
   body: Buffer,
   position: CutPosition,
 ): void {
-  const keptBytes =
+  const sentBytes =
     position === 'last-byte' ? body.byteLength - 1 : body.byteLength >> 1;
-  response.write(body.subarray(0, keptBytes), () => {
+  response.write(body.subarray(0, sentBytes), () => {
     response.destroy();
   });
 }
--- a/src/emulator/wait_for.ts
+++ b/src/emulator/wait_for.ts
@@ -3,17 +3,17 @@
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 
-const POLL_MILLIS = 25;
+const POLL_INTERVAL_MILLIS = 25;
 
 /** Polls a condition; false when it did not hold within the limit. */
 export async function waitFor(
-  limitMillis: number,
+  timeoutMillis: number,
   condition: () => Promise<boolean>,
 ): Promise<boolean> {
-  const end = Date.now() + limitMillis;
+  const endMillis = Date.now() + timeoutMillis;
   while (!(await condition())) {
-    if (Date.now() > end) return false;
-    await sleep(POLL_MILLIS);
+    if (Date.now() > endMillis) return false;
+    await sleep(POLL_INTERVAL_MILLIS);
   }
   return true;
 }
--- a/test/scenario/policy_change.ts
+++ b/test/scenario/policy_change.ts
@@ -6,7 +6,7 @@
 type Json = string | number | boolean | Json[] | {[name: string]: Json};
 
 /** Returns a policy with one field replaced; list members go by their name. */
-export function changePolicy(
+export function setPolicyField(
   policy: Policy,
   path: readonly string[],
   value: number | boolean | string,
--- a/test/scenario/scenario_ast.ts
+++ b/test/scenario/scenario_ast.ts
@@ -2,7 +2,7 @@
  * Statements of the scenario language as its grammar produces them.
  */
 import type {LinkMode} from '../../src/emulator/faulty_link.js';
-import type {PlatformFault} from '../../src/emulator/stand_in_platform.js';
+import type {PlatformFault} from '../../src/emulator/emulated_platform.js';
 import type {UpstreamFault} from '../../src/emulator/upstream_config.js';
 
 /** One host by its name. */
--- a/test/scenario/scenario_daemons.ts
+++ b/test/scenario/scenario_daemons.ts
@@ -2,25 +2,25 @@
  * Statements that start, stop and signal daemons.
  */
 import type {DaemonAction, StatementOf} from './scenario_ast.js';
-import type {Run} from './scenario_run.js';
+import type {ScenarioRun} from './scenario_run.js';
 import {fleetOf, resolveHosts} from './scenario_run.js';
 
 /** Longest a planned stop may take before it counts as failed. */
-const STOP_LIMIT_MILLIS = 30_000;
-const LAUNCH_LIMIT_MILLIS = 30_000;
+const STOP_TIMEOUT_MILLIS = 30_000;
+const LAUNCH_TIMEOUT_MILLIS = 30_000;
 
 /** Acts on the daemons of the hosts, one after another. */
-export async function actOnDaemons(
-  run: Run,
+export async function applyDaemonAction(
+  run: ScenarioRun,
   statement: StatementOf<'daemon'>,
 ): Promise<void> {
   for (const name of resolveHosts(run, statement.hosts)) {
-    await actOnDaemon(run, name, statement.action);
+    await applyToDaemon(run, name, statement.action);
   }
 }
 
-async function actOnDaemon(
-  run: Run,
+async function applyToDaemon(
+  run: ScenarioRun,
   name: string,
   action: DaemonAction,
 ): Promise<void> {
@@ -32,7 +32,7 @@
       return host.killDaemon();
     case 'stop': {
       run.running.delete(name);
-      const exit = await host.stopDaemon(STOP_LIMIT_MILLIS);
+      const exit = await host.stopDaemon(STOP_TIMEOUT_MILLIS);
       run.exitCodes.set(name, exit.code ?? -1);
       return;
     }
@@ -49,11 +49,11 @@
       return;
     case 'launch':
       await fleet.startDaemon(name);
-      await fleet.waitUntilReady(LAUNCH_LIMIT_MILLIS, [name]);
+      await fleet.waitUntilReady(LAUNCH_TIMEOUT_MILLIS, [name]);
       run.running.add(name);
       return;
     case 'replace':
-      await actOnDaemon(run, name, 'stop');
-      return actOnDaemon(run, name, 'launch');
+      await applyToDaemon(run, name, 'stop');
+      return applyToDaemon(run, name, 'launch');
   }
 }
--- a/test/scenario/scenario_measures.ts
+++ b/test/scenario/scenario_measures.ts
@@ -2,17 +2,17 @@
  * The counts that conditions of a scenario compare.
  */
 import type {Execution} from '../../src/emulator/execution_record.js';
-import {callTarget} from '../../src/emulator/execution_record.js';
+import {callTargetKey} from '../../src/emulator/execution_record.js';
 import type {Fleet} from '../../src/emulator/fleet_launcher.js';
 import type {Condition, HostRef, HostsRef, Measure} from './scenario_ast.js';
-import type {ScenarioRequests, SentRequest} from './scenario_requests.js';
-import type {VersionWatch} from './version_watch.js';
+import type {ScenarioRequests, CompletedRequest} from './scenario_requests.js';
+import type {VersionMonitor} from './version_monitor.js';
 
 /** What counts are taken from. */
 export interface MeasureSources {
   readonly fleet: Fleet;
   readonly requests: ScenarioRequests;
-  readonly versions: VersionWatch;
+  readonly versions: VersionMonitor;
   readonly exitCodes: ReadonlyMap<string, number>;
   resolveHost(ref: HostRef): string;
   resolveHosts(ref: HostsRef): readonly string[];
@@ -21,7 +21,7 @@
 }
 
 /** An execution with the service that it happened at. */
-interface PlacedExecution extends Execution {
+interface ServiceExecution extends Execution {
   readonly service: string;
 }
 
@@ -29,29 +29,34 @@
 const NOT_STOPPED = -1;
 
 /** Takes one count. */
-export async function takeMeasure(
+export async function evaluateMeasure(
   sources: MeasureSources,
   measure: Measure,
 ): Promise<number> {
   const {fleet, requests} = sources;
   switch (measure.kind) {
     case 'results':
-      return countResults(requests.group(measure.group).sent, measure.result);
+      return countResults(
+        requests.group(measure.group).completed,
+        measure.result,
+      );
     case 'status':
       return requests
         .group(measure.group)
-        .sent.filter(({result}) => result.statusCode === measure.statusCode)
-        .length;
+        .completed.filter(
+          ({result}) => result.statusCode === measure.statusCode,
+        ).length;
     case 'reason':
       return requests
         .group(measure.group)
-        .sent.filter(({result}) => result.reason === measure.reason).length;
+        .completed.filter(({result}) => result.reason === measure.reason)
+        .length;
     case 'maximum-retries':
       return Math.max(
         0,
         ...requests
           .group(measure.group)
-          .sent.map(({result}) => result.retriesSpentCount),
+          .completed.map(({result}) => result.retriesSpentCount),
       );
     case 'executions': {
       const counts = await countByRequest(sources, measure);
@@ -63,13 +68,13 @@
     }
     case 'unanswered-executions': {
       const counts = await countByRequest(sources, measure);
-      for (const {name, result} of requests.group(measure.group).sent) {
+      for (const {name, result} of requests.group(measure.group).completed) {
         if (result.kind === 'answered') counts.delete(name);
       }
       return [...counts.values()].filter(count => count > 0).length;
     }
     case 'maximum-repeats':
-      return maximumRepeats(sources, measure.group);
+      return maximumRetries(sources, measure.group);
     case 'false-not-run':
       return countFalseNotRun(sources, measure.group);
     case 'arrivals':
@@ -118,7 +123,7 @@
 }
 
 /** Compares a count as the condition has it. */
-export function holds(condition: Condition, count: number): boolean {
+export function isConditionMet(condition: Condition, count: number): boolean {
   switch (condition.operator) {
     case '=':
       return count === condition.value;
@@ -136,7 +141,7 @@
 }
 
 function countResults(
-  sent: readonly SentRequest[],
+  sent: readonly CompletedRequest[],
   wanted: Extract<Measure, {kind: 'results'}>['result'],
 ): number {
   if (wanted === 'sent') return sent.length;
@@ -147,7 +152,7 @@
 
 async function readExecutions(
   fleet: Fleet,
-): Promise<readonly PlacedExecution[]> {
+): Promise<readonly ServiceExecution[]> {
   const lists = await Promise.all(
     [...fleet.hosts.values()].map(async host => {
       const executions = await host.executions();
@@ -180,29 +185,29 @@
  * Most retries that upstreams saw for one request: arrivals at a service and
  * path beyond the calls that upstreams, and for its entry the caller, made.
  */
-async function maximumRepeats(
+async function maximumRetries(
   sources: MeasureSources,
   group: string,
 ): Promise<number> {
-  const made = new Map<string, Map<string, number>>();
+  const callCounts = new Map<string, Map<string, number>>();
   for (const {name, service, path} of sources.requests.group(group).started) {
-    addTo(made, name, callTarget(service, path), 1);
+    addCount(callCounts, name, callTargetKey(service, path), 1);
   }
   for (const {request, calls} of await readExecutions(sources.fleet)) {
-    if (!made.has(request)) continue;
+    if (!callCounts.has(request)) continue;
     for (const [target, count] of Object.entries(calls)) {
-      addTo(made, request, target, count);
+      addCount(callCounts, request, target, count);
     }
   }
-  const arrived = await readArrivals(sources.fleet);
-  const repeats = [...made].map(([request, targets]) =>
-    [...(arrived.get(request) ?? [])].reduce(
+  const arrivalCounts = await readArrivals(sources.fleet);
+  const retryCounts = [...callCounts].map(([request, targets]) =>
+    [...(arrivalCounts.get(request) ?? [])].reduce(
       (sum, [target, count]) =>
         sum + Math.max(0, count - (targets.get(target) ?? 0)),
       0,
     ),
   );
-  return Math.max(0, ...repeats);
+  return Math.max(0, ...retryCounts);
 }
 
 /** Arrivals at chosen upstreams caused by the requests of a group. */
@@ -227,17 +232,17 @@
 async function readArrivals(
   fleet: Fleet,
 ): Promise<ReadonlyMap<string, ReadonlyMap<string, number>>> {
-  const arrived = new Map<string, Map<string, number>>();
+  const arrivalCounts = new Map<string, Map<string, number>>();
   for (const host of fleet.hosts.values()) {
     for (const {request, path, count} of await host.arrivals()) {
-      const target = callTarget(host.identity.service, path);
-      addTo(arrived, request, target, count);
+      const target = callTargetKey(host.identity.service, path);
+      addCount(arrivalCounts, request, target, count);
     }
   }
-  return arrived;
+  return arrivalCounts;
 }
 
-function addTo(
+function addCount(
   counts: Map<string, Map<string, number>>,
   request: string,
   target: string,
@@ -256,7 +261,7 @@
   const executions = await readExecutions(sources.fleet);
   const all = sources.requests.all();
   const names = new Set(
-    sources.requests.group(group).sent.map(({name}) => name),
+    sources.requests.group(group).completed.map(({name}) => name),
   );
   return [...names].filter(name => {
     const isAlwaysNotRun = all
--- a/test/scenario/scenario_requests.ts
+++ b/test/scenario/scenario_requests.ts
@@ -16,14 +16,14 @@
 }
 
 /** One request that has ended. */
-export interface SentRequest extends StartedRequest {
+export interface CompletedRequest extends StartedRequest {
   readonly result: CallerResult;
 }
 
 /** Requests sent under one group name. */
 export interface RequestGroup {
   readonly started: StartedRequest[];
-  readonly sent: SentRequest[];
+  readonly completed: CompletedRequest[];
   readonly pending: Set<Promise<void>>;
 }
 
@@ -43,7 +43,7 @@
   /** Throws for a name that no statement used. */
   group(name: string): RequestGroup;
   /** All requests, whatever their group. */
-  all(): readonly SentRequest[];
+  all(): readonly CompletedRequest[];
   awaitGroup(name: string): Promise<void>;
   dispose(): void;
 }
@@ -61,7 +61,11 @@
   const groupFor = (name: string): RequestGroup => {
     const known = groups.get(name);
     if (known !== undefined) return known;
-    const created: RequestGroup = {started: [], sent: [], pending: new Set()};
+    const created: RequestGroup = {
+      started: [],
+      completed: [],
+      pending: new Set(),
+    };
     groups.set(name, created);
     return created;
   };
@@ -84,10 +88,10 @@
       timeoutMillis: spec.timeoutMillis ?? DEFAULT_TIMEOUT_MILLIS,
       agent,
     });
-    group.sent.push({...request, result});
+    group.completed.push({...request, result});
   };
 
-  const begin = (spec: RequestSpec): Promise<void> => {
+  const startOne = (spec: RequestSpec): Promise<void> => {
     const {pending} = groupFor(spec.group ?? '');
     const task = sendOne(spec).finally(() => pending.delete(task));
     pending.add(task);
@@ -100,7 +104,7 @@
 
   return {
     send: async (spec, count) => {
-      const tasks = Array.from({length: count}, () => begin(spec));
+      const tasks = Array.from({length: count}, () => startOne(spec));
       if (spec.group === undefined) await Promise.all(tasks);
     },
     load: async (spec, ratePerSecond, durationMillis) => {
@@ -113,7 +117,7 @@
         const dueMillis = start + (i * MILLIS_PER_SECOND) / ratePerSecond;
         const waitMillis = dueMillis - Date.now();
         if (waitMillis > 0) await sleep(waitMillis);
-        tasks.push(begin(spec));
+        tasks.push(startOne(spec));
       }
       await Promise.all(tasks);
     },
@@ -122,7 +126,7 @@
       if (group === undefined) throw new Error(`no requests named '${name}'`);
       return group;
     },
-    all: () => [...groups.values()].flatMap(group => group.sent),
+    all: () => [...groups.values()].flatMap(group => group.completed),
     awaitGroup,
     dispose: () => {
       agent.destroy();
--- a/test/scenario/scenario_run.ts
+++ b/test/scenario/scenario_run.ts
@@ -12,7 +12,7 @@
   StatementOf,
 } from './scenario_ast.js';
 import type {ScenarioRequests} from './scenario_requests.js';
-import type {VersionWatch} from './version_watch.js';
+import type {VersionMonitor} from './version_monitor.js';
 
 /** Lines of a daemon's log shown when it ended unasked. */
 const LOG_LINES_COUNT = 5;
@@ -21,12 +21,12 @@
 const RESULTS_COUNT = 20;
 
 /** A scenario as far as it has been executed. */
-export interface Run {
+export interface ScenarioRun {
   policy: Policy;
-  setUp: StatementOf<'fleet'> | undefined;
+  fleetStatement: StatementOf<'fleet'> | undefined;
   fleet: Fleet | undefined;
   requests: ScenarioRequests | undefined;
-  versions: VersionWatch | undefined;
+  versions: VersionMonitor | undefined;
   /** Hosts whose daemon is supposed to run. */
   readonly running: Set<string>;
   readonly frozen: Set<string>;
@@ -37,10 +37,10 @@
 }
 
 /** Creates the state of a scenario before its first statement. */
-export function createRun(): Run {
+export function createScenarioRun(): ScenarioRun {
   return {
     policy: createSmallPolicy(2),
-    setUp: undefined,
+    fleetStatement: undefined,
     fleet: undefined,
     requests: undefined,
     versions: undefined,
@@ -53,7 +53,7 @@
 }
 
 /** Results that are not answers, alike ones counted together, for messages. */
-export function describeResults(run: Run): string {
+export function describeResults(run: ScenarioRun): string {
   const counts = new Map<string, number>();
   const lines = requestsOf(run)
     .all()
@@ -78,7 +78,7 @@
  * Daemons that ended without being told to. A scenario in which one did proves
  * nothing: requests refused by a dead process meet many a bound.
  */
-export function describeCrashes(run: Run): string {
+export function describeCrashes(run: ScenarioRun): string {
   return [...run.running]
     .map(name => run.fleet?.host(name).daemon())
     .filter(daemon => daemon?.hasExited() === true)
@@ -91,11 +91,14 @@
 }
 
 /** Name of a host, checked when it is used. */
-export function resolveHost(_run: Run, ref: HostRef): string {
+export function resolveHost(_run: ScenarioRun, ref: HostRef): string {
   return ref.name;
 }
 
-export function resolveHosts(run: Run, ref: HostsRef): readonly string[] {
+export function resolveHosts(
+  run: ScenarioRun,
+  ref: HostsRef,
+): readonly string[] {
   if (ref.kind === 'one') return [resolveHost(run, ref.host)];
   return [...fleetOf(run).hosts.values()]
     .map(({identity}) => identity)
@@ -108,7 +111,7 @@
 }
 
 /** Hosts whose daemon is a process that is not frozen, ready or not. */
-export function watchedHosts(run: Run): readonly string[] {
+export function watchedHosts(run: ScenarioRun): readonly string[] {
   return [...fleetOf(run).hosts]
     .filter(([, host]) => host.daemon()?.hasExited() === false)
     .map(([name]) => name)
@@ -116,7 +119,10 @@
 }
 
 /** Hosts that run and are not frozen. */
-export function runningHosts(run: Run, zone?: string): readonly string[] {
+export function runningHosts(
+  run: ScenarioRun,
+  zone?: string,
+): readonly string[] {
   return [...run.running].filter(name => {
     const {availabilityZone} = fleetOf(run).host(name).identity;
     return (
@@ -126,7 +132,10 @@
 }
 
 /** Any running host in turn, or the one named. */
-export function portOf(run: Run, target: RequestSpec['target']): number {
+export function resolvePort(
+  run: ScenarioRun,
+  target: RequestSpec['target'],
+): number {
   const fleet = fleetOf(run);
   if (target.kind === 'host') {
     return fleet.host(resolveHost(run, target.host)).ports.caller;
@@ -138,19 +147,19 @@
   return fleet.host(name).ports.caller;
 }
 
-export function fleetOf(run: Run): Fleet {
-  return need(run.fleet);
+export function fleetOf(run: ScenarioRun): Fleet {
+  return requireStarted(run.fleet);
 }
 
-export function requestsOf(run: Run): ScenarioRequests {
-  return need(run.requests);
+export function requestsOf(run: ScenarioRun): ScenarioRequests {
+  return requireStarted(run.requests);
 }
 
-export function versionsOf(run: Run): VersionWatch {
-  return need(run.versions);
+export function versionsOf(run: ScenarioRun): VersionMonitor {
+  return requireStarted(run.versions);
 }
 
-function need<T>(value: T | undefined): T {
+function requireStarted<T>(value: T | undefined): T {
   if (value === undefined) throw new Error('the fleet has not been started');
   return value;
 }
--- a/test/scenario/scenario_runner.ts
+++ b/test/scenario/scenario_runner.ts
@@ -9,19 +9,19 @@
 } from '../../src/emulator/small_deployment.js';
 import {waitFor} from '../../src/emulator/wait_for.js';
 import type {PublishedHostState} from '../../src/version/host_list.js';
-import {changePolicy} from './policy_change.js';
+import {setPolicyField} from './policy_change.js';
 import type {Condition, Statement, StatementOf} from './scenario_ast.js';
-import {actOnDaemons} from './scenario_daemons.js';
+import {applyDaemonAction} from './scenario_daemons.js';
 import type {MeasureSources} from './scenario_measures.js';
-import {holds, takeMeasure} from './scenario_measures.js';
+import {isConditionMet, evaluateMeasure} from './scenario_measures.js';
 import {createScenarioRequests} from './scenario_requests.js';
-import type {Run} from './scenario_run.js';
+import type {ScenarioRun} from './scenario_run.js';
 import {
-  createRun,
+  createScenarioRun,
   describeCrashes,
   describeResults,
   fleetOf,
-  portOf,
+  resolvePort,
   requestsOf,
   resolveHost,
   resolveHosts,
@@ -29,13 +29,13 @@
   versionsOf,
   watchedHosts,
 } from './scenario_run.js';
-import {watchVersions} from './version_watch.js';
+import {monitorVersions} from './version_monitor.js';
 
 /** Runs a scenario to its end; rejects at the first expectation not met. */
 export async function runScenario(
   statements: readonly Statement[],
 ): Promise<void> {
-  const run = createRun();
+  const run = createScenarioRun();
   try {
     for (const statement of statements) await executeLine(run, statement);
     await Promise.all(run.background.values());
@@ -48,7 +48,10 @@
   }
 }
 
-async function executeLine(run: Run, statement: Statement): Promise<void> {
+async function executeLine(
+  run: ScenarioRun,
+  statement: Statement,
+): Promise<void> {
   try {
     await execute(run, statement);
   } catch (error) {
@@ -59,14 +62,14 @@
   }
 }
 
-async function execute(run: Run, statement: Statement): Promise<void> {
+async function execute(run: ScenarioRun, statement: Statement): Promise<void> {
   switch (statement.kind) {
     case 'fleet':
-      run.setUp = statement;
+      run.fleetStatement = statement;
       run.policy = createSmallPolicy(statement.zonesCount);
       return;
     case 'policy-set':
-      run.policy = changePolicy(run.policy, statement.path, statement.value);
+      run.policy = setPolicyField(run.policy, statement.path, statement.value);
       return;
     case 'start':
       return start(run, statement);
@@ -99,14 +102,16 @@
       await run.background.get(statement.group);
       return requestsOf(run).awaitGroup(statement.group);
     case 'daemon':
-      return runTask(run, statement.group, () => actOnDaemons(run, statement));
+      return runTask(run, statement.group, () =>
+        applyDaemonAction(run, statement),
+      );
     case 'pause':
       await sleep(statement.millis);
       return;
     case 'wait-until':
-      return check(run, statement.condition, statement.limitMillis);
+      return checkCondition(run, statement.condition, statement.limitMillis);
     case 'expect':
-      return check(run, statement.condition, 0);
+      return checkCondition(run, statement.condition, 0);
     default:
       return applyFault(run, statement);
   }
@@ -114,7 +119,7 @@
 
 /** Waits for a task, or leaves it to a later `await` when it has a name. */
 async function runTask(
-  run: Run,
+  run: ScenarioRun,
   name: string | undefined,
   task: () => Promise<void>,
 ): Promise<void> {
@@ -125,24 +130,27 @@
   run.background.set(name, running);
 }
 
-async function start(run: Run, statement: StatementOf<'start'>): Promise<void> {
-  const {setUp} = run;
-  if (setUp === undefined) throw new Error('no fleet was described');
+async function start(
+  run: ScenarioRun,
+  statement: StatementOf<'start'>,
+): Promise<void> {
+  const {fleetStatement} = run;
+  if (fleetStatement === undefined) throw new Error('no fleet was described');
   const fleet = await launchFleet({
     policy: run.policy,
-    services: createSmallServices(setUp.hostsCount),
-    hasLinks: setUp.hasLinks,
-    spareHosts: setUp.spareHosts,
+    services: createSmallServices(fleetStatement.hostsCount),
+    hasLinks: fleetStatement.hasLinks,
+    spareHosts: fleetStatement.spareHosts,
   });
   run.fleet = fleet;
   for (const name of fleet.publishedStates().keys()) run.running.add(name);
-  run.requests = createScenarioRequests(target => portOf(run, target));
-  run.versions = watchVersions(fleet, () => watchedHosts(run));
+  run.requests = createScenarioRequests(target => resolvePort(run, target));
+  run.versions = monitorVersions(fleet, () => watchedHosts(run));
   await fleet.waitUntilReady(statement.limitMillis);
 }
 
 async function publishHosts(
-  run: Run,
+  run: ScenarioRun,
   statement: StatementOf<'publish-hosts'>,
 ): Promise<void> {
   const fleet = fleetOf(run);
@@ -159,7 +167,10 @@
   'zone-link' | 'host-link' | 'link-width' | 'forget' | 'platform' | 'upstream'
 >;
 
-async function applyFault(run: Run, statement: FaultStatement): Promise<void> {
+async function applyFault(
+  run: ScenarioRun,
+  statement: FaultStatement,
+): Promise<void> {
   const fleet = fleetOf(run);
   if (statement.kind === 'platform') {
     return fleet.setPlatformFault(statement.front, statement.fault);
@@ -178,17 +189,17 @@
     }
     const link = host.links?.[statement.link];
     if (link === undefined) throw new Error('the fleet has no links');
-    if (statement.kind === 'forget') link.forgetOpenConnections();
+    if (statement.kind === 'forget') link.stallOpenConnections();
     else if (statement.kind === 'link-width') {
-      link.setWidth(statement.bytesPerSecond);
+      link.setBandwidth(statement.bytesPerSecond);
     } else link.setDefaultMode(statement.mode);
   }
 }
 
-async function check(
-  run: Run,
+async function checkCondition(
+  run: ScenarioRun,
   condition: Condition,
-  limitMillis: number,
+  timeoutMillis: number,
 ): Promise<void> {
   const sources: MeasureSources = {
     fleet: fleetOf(run),
@@ -200,9 +211,9 @@
     runningHosts: zone => runningHosts(run, zone),
   };
   let count = Number.NaN;
-  const isMet = await waitFor(limitMillis, async () => {
-    count = await takeMeasure(sources, condition.measure);
-    return holds(condition, count);
+  const isMet = await waitFor(timeoutMillis, async () => {
+    count = await evaluateMeasure(sources, condition.measure);
+    return isConditionMet(condition, count);
   });
   if (isMet) return;
   throw new Error(
--- a/test/scenario/scenario_suite.ts
+++ b/test/scenario/scenario_suite.ts
@@ -8,7 +8,7 @@
 import {SCENARIO_DIRECTORY, createScenarioParser} from './scenario_parser.js';
 import {runScenario} from './scenario_runner.js';
 
-const LIMIT_MILLIS = 110_000;
+const SCENARIO_TIMEOUT_MILLIS = 110_000;
 const PARTS_COUNT = 2;
 
 /** Registers every file whose position in the alphabet falls to the part. */
@@ -22,7 +22,7 @@
     const text = readFileSync(join(SCENARIO_DIRECTORY, file), 'utf8');
     // One after another: each starts a dozen processes.
     test.serial(file, async t => {
-      t.timeout(LIMIT_MILLIS);
+      t.timeout(SCENARIO_TIMEOUT_MILLIS);
       await t.notThrowsAsync(runScenario(parse(text, file)));
     });
   }
--- a/test/scenario/version_watch.ts
+++ b/test/scenario/version_monitor.ts
@@ -7,23 +7,23 @@
 import {NO_POLICY} from '../../src/emulator/fleet_launcher.js';
 
 /** A watch that runs until stopped. */
-export interface VersionWatch {
+export interface VersionMonitor {
   decreasesCount(): number;
   /** Documents seen beyond the first of each version. */
   conflictsCount(): number;
   stop(): Promise<void>;
 }
 
-const INTERVAL_MILLIS = 50;
+const POLL_INTERVAL_MILLIS = 50;
 
 /**
  * Starts watching. A host that does not answer is passed over; one that comes
  * back with a lower version than it had counts as a step backwards.
  */
-export function watchVersions(
+export function monitorVersions(
   fleet: Fleet,
   watchedHosts: () => readonly string[],
-): VersionWatch {
+): VersionMonitor {
   const highest = new Map<string, number>();
   const digests = new Map<number, Set<string>>();
   let decreasesCount = 0;
@@ -35,20 +35,23 @@
       names.forEach((name, i) => {
         const {version, digest} = policies[i] ?? NO_POLICY;
         if (version === 0) return;
-        const known = digests.get(version) ?? new Set();
-        digests.set(version, known.add(digest));
+        const versionDigests = digests.get(version) ?? new Set();
+        digests.set(version, versionDigests.add(digest));
         const before = highest.get(name) ?? 0;
         if (version < before) decreasesCount += 1;
         highest.set(name, Math.max(before, version));
       });
-      await sleep(INTERVAL_MILLIS);
+      await sleep(POLL_INTERVAL_MILLIS);
     }
   };
   const running = run();
   return {
     decreasesCount: () => decreasesCount,
     conflictsCount: () =>
-      [...digests.values()].reduce((sum, known) => sum + known.size - 1, 0),
+      [...digests.values()].reduce(
+        (sum, versionDigests) => sum + versionDigests.size - 1,
+        0,
+      ),
     stop: () => {
       isStopped = true;
       return running;
--- a/test/unit/connection/hop_transport.test.ts
+++ b/test/unit/connection/hop_transport.test.ts
@@ -81,7 +81,7 @@
   });
   const {ended} = send(false);
   await waitUntil('runs', () => runsCount === 1);
-  t.true(link.forgetOpenConnections() > 0);
+  t.true(link.stallOpenConnections() > 0);
   isAnswered = true;
   t.is(startOf(await ended), 'done');
   t.is(runsCount, 1);
@@ -118,7 +118,7 @@
     return Promise.resolve();
   });
   t.is(startOf(await send(true).ended), 'done');
-  link.forgetOpenConnections();
+  link.stallOpenConnections();
   t.is(startOf(await send(true).ended), 'not-run silent');
   t.is(runsCount, 1);
 });
--- a/test/unit/deploy/build.test.ts
+++ b/test/unit/deploy/build.test.ts
@@ -6,13 +6,13 @@
 
 const RUN_LINE = /^run = "node (.*) target\/(\S+)"$/m;
 
-interface Built {
+interface BuildResult {
   readonly directory: string;
   readonly flags: readonly string[];
   readonly program: string;
 }
 
-function buildOnce(): Built {
+function runBuild(): BuildResult {
   const directory = mkdtempSync(join(tmpdir(), 'fulmarhollow-build-'));
   execFileSync(process.execPath, ['deploy/build.js', directory]);
   const line = RUN_LINE.exec(readFileSync('deploy/system.toml', 'utf8'));
@@ -23,25 +23,25 @@
   };
 }
 
-let built: Built;
+let build: BuildResult;
 
 test.before(() => {
-  built = buildOnce();
+  build = runBuild();
 });
 
 test.after.always(() => {
-  rmSync(built.directory, {recursive: true, force: true});
+  rmSync(build.directory, {recursive: true, force: true});
 });
 
-function start(flags: readonly string[]) {
-  return spawnSync(process.execPath, [...flags, built.program], {
+function startProgram(flags: readonly string[]) {
+  return spawnSync(process.execPath, [...flags, build.program], {
     env: {},
     encoding: 'utf8',
   });
 }
 
 test.serial('the built program starts and asks for its settings', t => {
-  const {status, stderr} = start(built.flags);
+  const {status, stderr} = startProgram(build.flags);
   t.is(status, 2);
   t.regex(stderr, /ENOENT/);
 });
@@ -55,13 +55,13 @@
     const vm = require('node:vm');
     const fs = require('node:fs');
     const source = require('node:module').wrap(
-      fs.readFileSync(${JSON.stringify(join(built.directory, 'node.cjs'))}, 'utf8'));
+      fs.readFileSync(${JSON.stringify(join(build.directory, 'node.cjs'))}, 'utf8'));
     const cachedData =
-      fs.readFileSync(${JSON.stringify(join(built.directory, 'node.cache'))});
+      fs.readFileSync(${JSON.stringify(join(build.directory, 'node.cache'))});
     console.log(new vm.Script(source, {cachedData}).cachedDataRejected);`;
     const isRejected = execFileSync(
       process.execPath,
-      [...built.flags, '-e', script],
+      [...build.flags, '-e', script],
       {env: {}, encoding: 'utf8'},
     );
     t.is(isRejected.trim(), 'false');
@@ -69,7 +69,7 @@
 );
 
 test.serial('the program starts without compiled code', t => {
-  rmSync(join(built.directory, 'node.cache'));
-  t.is(start(built.flags).status, 2);
-  t.is(start([]).status, 2);
+  rmSync(join(build.directory, 'node.cache'));
+  t.is(startProgram(build.flags).status, 2);
+  t.is(startProgram([]).status, 2);
 });
--- a/test/unit/emulator/stand_in_platform.test.ts
+++ b/test/unit/emulator/emulated_platform.test.ts
@@ -1,19 +1,19 @@
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
-import type {StandInPlatform} from '../../../src/emulator/stand_in_platform.js';
-import {createStandInPlatform} from '../../../src/emulator/stand_in_platform.js';
-import type {HttpAnswer} from '../../../src/emulator/http_support.js';
+import type {EmulatedPlatform} from '../../../src/emulator/emulated_platform.js';
+import {createEmulatedPlatform} from '../../../src/emulator/emulated_platform.js';
+import type {HttpResponse} from '../../../src/emulator/http_support.js';
 import {
   LOOPBACK_ADDRESS,
-  callControl,
-  sendHttp,
+  sendControlRequest,
+  sendHttpRequest,
 } from '../../../src/emulator/http_support.js';
 
 const POLICY = Buffer.from('{"version":3, "spaces":  "kept"}');
 const NEWER_POLICY = Buffer.from('{"version":4}');
 
-async function start(t: ExecutionContext): Promise<StandInPlatform> {
-  const platform = await createStandInPlatform({
+async function start(t: ExecutionContext): Promise<EmulatedPlatform> {
+  const platform = await createEmulatedPlatform({
     port: 0,
     fronts: [{name: 'east', port: 0}],
   });
@@ -23,11 +23,11 @@
 }
 
 function read(
-  platform: StandInPlatform,
+  platform: EmulatedPlatform,
   query = '',
   front = 'main',
-): Promise<HttpAnswer> {
-  return sendHttp({
+): Promise<HttpResponse> {
+  return sendHttpRequest({
     address: LOOPBACK_ADDRESS,
     port: platform.frontPorts.get(front)!,
     path: `/v1/policy${query}`,
@@ -36,16 +36,21 @@
 
 test('read returns the document byte for byte with its version', async t => {
   const platform = await start(t);
-  const answer = await read(platform);
-  t.is(answer.statusCode, 200);
-  t.is(answer.headers.etag, '"3"');
-  t.deepEqual(answer.body, POLICY);
+  const response = await read(platform);
+  t.is(response.statusCode, 200);
+  t.is(response.headers.etag, '"3"');
+  t.deepEqual(response.body, POLICY);
 });
 
 test('watch waits for a newer document and counts as one call', async t => {
   const platform = await start(t);
   const watch = read(platform, '?after=3&wait_ms=60000');
-  await callControl(platform.controlPort, 'PUT', '/policy', NEWER_POLICY);
+  await sendControlRequest(
+    platform.controlPort,
+    'PUT',
+    '/policy',
+    NEWER_POLICY,
+  );
   t.deepEqual((await watch).body, NEWER_POLICY);
   t.is((await read(platform, '?after=4&wait_ms=1')).statusCode, 304);
   t.deepEqual(platform.counts(), {
--- a/test/unit/emulator/stand_in_upstream.test.ts
+++ b/test/unit/emulator/emulated_upstream.test.ts
@@ -1,14 +1,14 @@
 import * as http from 'node:http';
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
-import {findAnswerProblem} from '../../../src/emulator/answer_body.js';
-import type {HttpAnswer} from '../../../src/emulator/http_support.js';
+import {findResponseProblem} from '../../../src/emulator/response_body.js';
+import type {HttpResponse} from '../../../src/emulator/http_support.js';
 import {
   LOOPBACK_ADDRESS,
-  sendHttp,
+  sendHttpRequest,
 } from '../../../src/emulator/http_support.js';
-import type {StandInUpstream} from '../../../src/emulator/stand_in_upstream.js';
-import {createStandInUpstream} from '../../../src/emulator/stand_in_upstream.js';
+import type {EmulatedUpstream} from '../../../src/emulator/emulated_upstream.js';
+import {createEmulatedUpstream} from '../../../src/emulator/emulated_upstream.js';
 import type {
   UpstreamFault,
   UpstreamRoute,
@@ -26,8 +26,8 @@
   t: ExecutionContext,
   routes: readonly UpstreamRoute[] = [LEAF_ROUTE],
   localPort = 0,
-): Promise<StandInUpstream> {
-  const upstream = await createStandInUpstream({
+): Promise<EmulatedUpstream> {
+  const upstream = await createEmulatedUpstream({
     hostName: 'h1',
     service: 'atlas',
     port: 0,
@@ -41,11 +41,11 @@
 }
 
 function get(
-  upstream: StandInUpstream,
+  upstream: EmulatedUpstream,
   request: string,
   headers: http.OutgoingHttpHeaders = {},
-): Promise<HttpAnswer> {
-  return sendHttp({
+): Promise<HttpResponse> {
+  return sendHttpRequest({
     address: LOOPBACK_ADDRESS,
     port: upstream.port,
     path: `/tiles/7?request=${request}`,
@@ -55,13 +55,13 @@
 
 test('an answer is whole, names its request and is recorded', async t => {
   const upstream = await start(t);
-  const answer = await get(upstream, 'r1');
+  const response = await get(upstream, 'r1');
   const expected = {request: 'r1', path: '/tiles/7', requestDigest: ''};
-  t.is(findAnswerProblem(answer.body, expected), undefined);
-  t.truthy(answer.headers['content-digest']);
+  t.is(findResponseProblem(response.body, expected), undefined);
+  t.truthy(response.headers['content-digest']);
   const other = {...expected, request: 'r2'};
-  t.truthy(findAnswerProblem(answer.body, other));
-  t.truthy(findAnswerProblem(answer.body.subarray(0, -1), expected));
+  t.truthy(findResponseProblem(response.body, other));
+  t.truthy(findResponseProblem(response.body.subarray(0, -1), expected));
   const [execution] = upstream.record.find({request: 'r1'});
   t.like(execution, {request: 'r1', isComplete: true, path: '/tiles/7'});
 });
@@ -107,15 +107,15 @@
 test('a full upstream refuses without executing', async t => {
   const upstream = await start(t);
   upstream.setFault({mode: 'hold'});
-  const held = [get(upstream, 'r1'), get(upstream, 'r2')];
+  const pending = [get(upstream, 'r1'), get(upstream, 'r2')];
   while (upstream.counts().completedCount < 2) {
     await new Promise(resolve => setImmediate(resolve));
   }
   const refused = await get(upstream, 'r3');
   t.is(refused.headers['fulmarhollow-not-run'], '1');
-  upstream.releaseHeld();
+  upstream.releaseHeldResponses();
   t.deepEqual(
-    (await Promise.all(held)).map(a => a.statusCode),
+    (await Promise.all(pending)).map(a => a.statusCode),
     [200, 200],
   );
   t.is(upstream.record.find({}).length, 2);
@@ -125,7 +125,7 @@
   const upstream = await start(t);
   upstream.setFault({mode: 'silent'});
   const controller = new AbortController();
-  const pending = sendHttp({
+  const pending = sendHttpRequest({
     address: LOOPBACK_ADDRESS,
     port: upstream.port,
     path: '/tiles/7',
@@ -144,11 +144,11 @@
 
 test('calls go to the own node with ids below that of their request', async t => {
   const leaf = await start(t);
-  const seen: unknown[] = [];
+  const receivedIds: unknown[] = [];
   const node = http.createServer((request, response) => {
     const id = request.headers['fulmarhollow-request-id'];
-    seen.push([request.headers.host, id]);
-    void get(leaf, 'r1').then(answer => response.end(answer.body));
+    receivedIds.push([request.headers.host, id]);
+    void get(leaf, 'r1').then(leafResponse => response.end(leafResponse.body));
   });
   await new Promise<void>(resolve => node.listen(0, LOOPBACK_ADDRESS, resolve));
   t.teardown(() => node.close());
@@ -158,7 +158,7 @@
   const upstream = await start(t, [route], port);
   const headers = {'fulmarhollow-request-id': 'own'};
   t.is((await get(upstream, 'r1', headers)).statusCode, 200);
-  t.deepEqual(seen, [
+  t.deepEqual(receivedIds, [
     ['deep', 'own.1'],
     ['deep', 'own.2'],
     ['deep', 'own.3'],
@@ -167,5 +167,5 @@
   upstream.setFault({contextMode: 'drop'});
   t.is((await get(upstream, 'other', headers)).statusCode, 502);
   t.is(upstream.counts().wrongAnswersCount, 2);
-  t.deepEqual(seen.at(-1), ['deep', undefined]);
+  t.deepEqual(receivedIds.at(-1), ['deep', undefined]);
 });
--- a/test/unit/emulator/faulty_link.test.ts
+++ b/test/unit/emulator/faulty_link.test.ts
@@ -6,16 +6,16 @@
 import {createFaultyLink} from '../../../src/emulator/faulty_link.js';
 import {LOOPBACK_ADDRESS, listen} from '../../../src/emulator/http_support.js';
 
-interface Bed {
+interface LinkFixture {
   readonly link: FaultyLink;
-  open(): Promise<Socket>;
+  connectClient(): Promise<Socket>;
 }
 
 /** An echo server behind a link whose sources are named by the given list. */
 async function start(
   t: ExecutionContext,
   sources: readonly string[],
-): Promise<Bed> {
+): Promise<LinkFixture> {
   const echo = createServer(socket =>
     socket.on('error', () => {}).pipe(socket),
   );
@@ -33,7 +33,7 @@
   });
   return {
     link,
-    open: async () => {
+    connectClient: async () => {
       const client = connect(link.port, LOOPBACK_ADDRESS);
       client.on('error', () => {});
       clients.push(client);
@@ -43,7 +43,7 @@
   };
 }
 
-function echoOf(client: Socket, text: string): Promise<string> {
+function readEcho(client: Socket, text: string): Promise<string> {
   return new Promise(resolve => {
     client.once('data', chunk => {
       resolve(chunk.toString());
@@ -53,10 +53,10 @@
 }
 
 /** Whether an echo came before another connection completed a round trip. */
-async function isSilent(client: Socket, witness: Socket): Promise<boolean> {
+async function isSilent(client: Socket, otherClient: Socket): Promise<boolean> {
   let hasEcho = false;
-  void echoOf(client, 'lost').then(() => (hasEcho = true));
-  for (let i = 0; i < 20; i += 1) await echoOf(witness, 'tick');
+  void readEcho(client, 'lost').then(() => (hasEcho = true));
+  for (let i = 0; i < 20; i += 1) await readEcho(otherClient, 'tick');
   return !hasEcho;
 }
 
@@ -64,11 +64,11 @@
 // Events: the link forgets its open connections, then clients use old and new.
 // Cause: something between the ends lost track of the old connections.
 test('forgotten connections stay silent while new ones work', async t => {
-  const {link, open} = await start(t, []);
-  const old = await open();
-  t.is(await echoOf(old, 'one'), 'one');
-  link.forgetOpenConnections();
-  const fresh = await open();
+  const {link, connectClient} = await start(t, []);
+  const old = await connectClient();
+  t.is(await readEcho(old, 'one'), 'one');
+  link.stallOpenConnections();
+  const fresh = await connectClient();
   t.true(await isSilent(old, fresh));
   link.setDefaultMode('open');
   t.true(await isSilent(old, fresh));
@@ -79,11 +79,11 @@
 // Events: a source is cut off, later healed; bytes sent meanwhile then arrive.
 // Cause: a network partition holds packets back until it ends.
 test('a silent source is cut off alone and resumes when healed', async t => {
-  const {link, open} = await start(t, ['a', 'b']);
-  const a = await open();
-  t.is(await echoOf(a, 'one'), 'one');
-  const b = await open();
-  t.is(await echoOf(b, 'one'), 'one');
+  const {link, connectClient} = await start(t, ['a', 'b']);
+  const a = await connectClient();
+  t.is(await readEcho(a, 'one'), 'one');
+  const b = await connectClient();
+  t.is(await readEcho(b, 'one'), 'one');
   link.setMode('a', 'silent');
   t.true(await isSilent(a, b));
   const late = new Promise(resolve => a.once('data', resolve));
@@ -92,9 +92,9 @@
 });
 
 test('a reset source loses its connections', async t => {
-  const {link, open} = await start(t, ['a']);
-  const a = await open();
-  t.is(await echoOf(a, 'one'), 'one');
+  const {link, connectClient} = await start(t, ['a']);
+  const a = await connectClient();
+  t.is(await readEcho(a, 'one'), 'one');
   const closed = new Promise(resolve => a.once('close', resolve));
   link.setMode('a', 'reset');
   await closed;
@@ -102,7 +102,7 @@
 });
 
 test('a link that accepts nothing refuses until it accepts again', async t => {
-  const {link, open} = await start(t, []);
+  const {link, connectClient} = await start(t, []);
   await link.setAccepting(false);
   const refused = connect(link.port, LOOPBACK_ADDRESS);
   const error = await new Promise<NodeJS.ErrnoException>(resolve =>
@@ -110,14 +110,14 @@
   );
   t.is(error.code, 'ECONNREFUSED');
   await link.setAccepting(true);
-  t.is(await echoOf(await open(), 'one'), 'one');
+  t.is(await readEcho(await connectClient(), 'one'), 'one');
 });
 
 test('a narrow link carries all bytes in order, one connection beside another', async t => {
-  const {link, open} = await start(t, []);
-  link.setWidth(4000);
-  const first = await open();
-  const second = await open();
+  const {link, connectClient} = await start(t, []);
+  link.setBandwidth(4000);
+  const first = await connectClient();
+  const second = await connectClient();
   const text = Array.from({length: 400}, (_, i) => `line ${String(i)}\n`).join(
     '',
   );
@@ -131,11 +131,11 @@
   for (let at = 0; at < text.length; at += 100) {
     first.write(text.slice(at, at + 100));
   }
-  t.is(await echoOf(second, 'two'), 'two');
+  t.is(await readEcho(second, 'two'), 'two');
   // What the link holds back is not there yet.
   t.true(received.join('').length < text.length);
   await whole;
   t.is(received.join(''), text);
-  link.setWidth(undefined);
-  t.is(await echoOf(second, 'three'), 'three');
+  link.setBandwidth(undefined);
+  t.is(await readEcho(second, 'three'), 'three');
 });
--- a/test/unit/emulator/load_generator.test.ts
+++ b/test/unit/emulator/load_generator.test.ts
@@ -5,7 +5,7 @@
 } from '../../../src/emulator/load_generator.js';
 import type {LoadFlow} from '../../../src/emulator/load_plan.js';
 import {createSeededRandom} from '../../../src/emulator/seeded_random.js';
-import {createStandInUpstream} from '../../../src/emulator/stand_in_upstream.js';
+import {createEmulatedUpstream} from '../../../src/emulator/emulated_upstream.js';
 
 const FLOW: LoadFlow = {
   name: 'tiles',
@@ -32,14 +32,14 @@
 
 test('arrivals depend on the seed alone and follow the phases', t => {
   const first = [...scheduleArrivals(PHASES, 200, createSeededRandom(7))];
-  const again = [...scheduleArrivals(PHASES, 200, createSeededRandom(7))];
-  t.deepEqual(first, again);
+  const second = [...scheduleArrivals(PHASES, 200, createSeededRandom(7))];
+  t.deepEqual(first, second);
   t.true(first.some(at => at < 100) && first.some(at => at >= 150));
   t.false(first.some(at => at >= 100 && at < 150));
 });
 
 test('every arrival is pursued and repeated under its own name', async t => {
-  const upstream = await createStandInUpstream({
+  const upstream = await createEmulatedUpstream({
     hostName: 'h1',
     service: 'atlas',
     port: 0,
--- a/test/unit/emulator/socket_owner.test.ts
+++ b/test/unit/emulator/socket_owner.test.ts
@@ -5,12 +5,12 @@
 import test from 'ava';
 import {LOOPBACK_ADDRESS, listen} from '../../../src/emulator/http_support.js';
 import {
-  canFindOwners,
+  canFindSocketOwners,
   createSocketOwnerFinder,
 } from '../../../src/emulator/socket_owner.js';
 
 test('tells which process holds the far end of a connection', async t => {
-  if (!canFindOwners()) {
+  if (!canFindSocketOwners()) {
     t.pass('this system does not tell; statements that cut zones need it');
     return;
   }
