--- a/src/emulator/response_body.ts
+++ b/src/emulator/response_body.ts
@@ -62,8 +62,9 @@
   if (header.request !== expected.request) {
     return `answer belongs to request '${header.request}'`;
   }
-  if (header.path !== expected.path)
+  if (header.path !== expected.path) {
     return `answer belongs to '${header.path}'`;
+  }
   if (header.requestDigest !== expected.requestDigest) {
     return 'answer belongs to a request with another body';
   }
