--- a/src/connection/document_follower.ts
+++ b/src/connection/document_follower.ts
@@ -21,7 +21,7 @@
 export interface DocumentFollowerOptions extends FollowerStateOptions {
   readonly source: DocumentSource;
   readonly prefix: string;
-  readonly pace: FollowerPacing;
+  readonly pacing: FollowerPacing;
 }
 
 /**
@@ -44,20 +44,20 @@
 export function followDocuments(
   options: DocumentFollowerOptions,
 ): Effect.Effect<never> {
-  const {source, prefix, pace, peerPositions, relay, nowMillis} = options;
+  const {source, prefix, pacing, peerPositions, relay, nowMillis} = options;
   const state = createFollowerState(options);
   /** Time of the last response that relayed changes. */
   let lastRelayResponseMillis = -Infinity;
 
   const handleSourceResponse = (): void => {
-    pace.recordSuccess();
+    pacing.recordSuccess();
     state.markReached();
     state.setSourceLost(false);
   };
 
   /**
    * Returns the pause before the next call. Changes are batched also after a
-   * repeated read, because every loss of the history costs a read, and after a
+   * new read, because every loss of the history costs a read, and after a
    * first read without documents, because a fleet that has just started
    * publishes many.
    */
@@ -67,7 +67,7 @@
     state.reportCall('read', snapshot);
     state.applySnapshot(snapshot);
     const isInitialContent = !wasRead && snapshot.documents.length > 0;
-    return isInitialContent ? 0 : pace.batchDelayMillis();
+    return isInitialContent ? 0 : pacing.batchDelayMillis();
   };
 
   /** Returns the pause before the next call. */
@@ -92,12 +92,12 @@
     if (result.position.epoch !== after.epoch) {
       state.reportCall('restored', result);
       state.requireRead('until-read');
-      return pace.readJitterMillis();
+      return pacing.readJitterMillis();
     }
     const isUnchanged = result.documents.length === 0;
     state.reportCall(isUnchanged ? 'unchanged' : 'changed', result);
     state.applyChanges(after, result);
-    return isUnchanged ? 0 : pace.batchDelayMillis();
+    return isUnchanged ? 0 : pacing.batchDelayMillis();
   };
 
   const watch = (
@@ -105,7 +105,12 @@
   ): Effect.Effect<WatchResult, unknown> => {
     const watchCall = Effect.tryPromise({
       try: signal =>
-        source.watch(prefix, after.revision, pace.watchTimeoutMillis(), signal),
+        source.watch(
+          prefix,
+          after.revision,
+          pacing.watchTimeoutMillis(),
+          signal,
+        ),
       catch: error => error,
     });
     // A node that has lost the source lags behind and retries soon anyway.
@@ -135,7 +140,7 @@
     state.reportCall('failed');
     state.setSourceLost(true);
     const now = nowMillis();
-    const pauseMillis = pace.retryDelayMillis(now - state.callStartedMillis);
+    const pauseMillis = pacing.retryDelayMillis(now - state.callStartedMillis);
     // A node that receives changes from other nodes misses nothing.
     if (now - lastRelayResponseMillis < 2 * RELAY_POLL_INTERVAL_MILLIS) {
       return Math.max(pauseMillis, RELAYED_RETRY_MILLIS);
--- a/src/connection/execution.ts
+++ b/src/connection/execution.ts
@@ -3,7 +3,7 @@
  */
 import type {CancelSignal} from '../base/cancel_signal.js';
 import type {CallCounts} from '../process/admission/call_trees.js';
-import type {CallOrigin} from '../process/repeats/in_flight_parents.js';
+import type {CallOrigin} from '../process/retries/in_flight_parents.js';
 import type {HopReason} from '../protocol/hop_messages.js';
 import type {RawHeaders} from './raw_headers.js';
 import type {ReceivedResponse} from './received_response.js';
--- a/src/connection/hop_listener.ts
+++ b/src/connection/hop_listener.ts
@@ -4,7 +4,7 @@
 import type {Socket} from 'node:net';
 import {createServer} from 'node:net';
 import type {Endpoint} from '../process/settings/node_settings.js';
-import {createHopRegistry} from '../process/repeats/hop_registry.js';
+import {createHopRegistry} from '../process/retries/hop_registry.js';
 import type {Frame} from '../protocol/hop_frames.js';
 import {FRAME_KIND} from '../protocol/hop_frames.js';
 import type {LoadFields} from '../protocol/hop_messages.js';
--- a/src/connection/remote_execution.ts
+++ b/src/connection/remote_execution.ts
@@ -10,7 +10,7 @@
 import type {PeerPositions} from '../process/membership/peer_positions.js';
 import type {ReplyTimeout} from '../process/membership/reply_timeout.js';
 import {createReplyTimeout} from '../process/membership/reply_timeout.js';
-import type {DelegatedRetries} from '../process/repeats/retry_grant.js';
+import type {DelegatedRetries} from '../process/retries/retry_grant.js';
 import type {UpstreamEntry} from '../process/membership/upstream_entry.js';
 import type {
   HopRequest,
--- a/src/daemon/document_feeds.ts
+++ b/src/daemon/document_feeds.ts
@@ -75,7 +75,7 @@
       // Revisions of different sources or watches are not comparable.
       peerPositions: isShared ? options.peerPositions : undefined,
       relay: isShared ? options.relay : undefined,
-      pace: createFollowerPacing({
+      pacing: createFollowerPacing({
         ...options,
         relayReserveMillis: isShared ? RELAY_RESERVE_MILLIS : 0,
       }),
--- a/src/daemon/node_components.ts
+++ b/src/daemon/node_components.ts
@@ -9,15 +9,15 @@
 import type {ConfigurationHolder} from '../process/membership/configuration_holder.js';
 import {createConfigurationHolder} from '../process/membership/configuration_holder.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
-import type {InFlightParents} from '../process/repeats/in_flight_parents.js';
-import {createInFlightParents} from '../process/repeats/in_flight_parents.js';
+import type {InFlightParents} from '../process/retries/in_flight_parents.js';
+import {createInFlightParents} from '../process/retries/in_flight_parents.js';
 import type {LoadTable, LoadReport} from '../process/admission/load_table.js';
 import {createLoadTable} from '../process/admission/load_table.js';
 import type {LoadPoller} from '../process/admission/load_poller.js';
 import {createLoadPoller} from '../process/admission/load_poller.js';
 import type {
   NodeSettings,
-  RepeatBound,
+  RetryBound,
 } from '../process/settings/node_settings.js';
 import type {PlacementChooser} from '../process/placement/placement.js';
 import {createPlacementChooser} from '../process/placement/placement.js';
@@ -28,8 +28,8 @@
 } from '../process/admission/rejection_rate.js';
 import type {RelativeSlowness} from '../process/placement/relative_slowness.js';
 import {createRelativeSlowness} from '../process/placement/relative_slowness.js';
-import type {RepeatBudget} from '../process/repeats/repeat_budget.js';
-import {createRepeatBudget} from '../process/repeats/repeat_budget.js';
+import type {RetryBudget} from '../process/retries/retry_budget.js';
+import {createRetryBudget} from '../process/retries/retry_budget.js';
 import type {
   DirectoryChange,
   UpstreamDirectory,
@@ -67,7 +67,7 @@
   readonly loadPoller: LoadPoller;
   readonly parents: InFlightParents;
   readonly trees: CallTrees;
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   /** Rejection rate of the upstream of this host. */
   readonly rejections: RejectionRate;
   readonly slowness: RelativeSlowness;
@@ -146,7 +146,7 @@
     }),
     parents: createInFlightParents(),
     trees: createCallTrees(),
-    budget: createRepeatBudget({
+    budget: createRetryBudget({
       bound: () => retryBoundOf(configuration, settings(), directory.count()),
       nowMillis,
       nodesCount: directory.count,
@@ -198,7 +198,7 @@
   configuration: ConfigurationHolder,
   settings: NodeSettings,
   nodesCount: number,
-): RepeatBound {
+): RetryBound {
   const budget = configuration.current()?.retryBudget;
   if (budget === undefined) return settings.repeatBound;
   const windowSeconds = BUDGET_WINDOW_MILLIS / MILLIS_PER_SECOND;
--- a/src/daemon/node_exchanges.ts
+++ b/src/daemon/node_exchanges.ts
@@ -12,7 +12,7 @@
 } from '../connection/remote_execution.js';
 import {createRemoteExecution} from '../connection/remote_execution.js';
 import {createUpstreamSender} from '../connection/upstream_sender.js';
-import {createAttemptTimeouts} from '../process/repeats/attempt_timeouts.js';
+import {createAttemptTimeouts} from '../process/retries/attempt_timeouts.js';
 import type {DecisionLog} from '../process/log/decision_log.js';
 import {createEntryAdmission} from '../process/admission/entry_admission.js';
 import type {LoadReport} from '../process/admission/load_table.js';
@@ -39,7 +39,7 @@
 import {createOutboundExchanges} from '../request/outbound_exchange.js';
 import type {OpenRequests} from '../request/open_requests.js';
 import {createOpenRequests} from '../request/open_requests.js';
-import {createRepeatRules} from '../request/repeat_rules.js';
+import {createRetryRules} from '../request/retry_rules.js';
 import type {CrashHandling} from './crash_handling.js';
 import {startCrashHandling} from './crash_handling.js';
 import type {NodeComponents} from './node_components.js';
@@ -92,7 +92,7 @@
   const started = upstream.onStarted(sender.closeIdleConnections);
   const remote = createRemote(options, {
     onCrashReport: (peer, report) => {
-      crashes.gossip.receiveAnswer(peer, report);
+      crashes.gossip.receiveReply(peer, report);
     },
     onPeerFound: peer => {
       crashes.gossip.compareWith(peer);
@@ -156,7 +156,7 @@
     quotas: quotas.enforcer,
     attempts: createAttemptRunner({
       placement: components.placement,
-      rules: createRepeatRules({...components, nowMillis}),
+      rules: createRetryRules({...components, nowMillis}),
       quarantine: crashes.quarantine,
       attemptTimeouts: createAttemptTimeouts(),
       stop: options.stop,
--- a/src/process/quarantine/crash_gossip.ts
+++ b/src/process/quarantine/crash_gossip.ts
@@ -25,7 +25,7 @@
   /** Handles a report; returns the reply, if there is anything to send. */
   receive(report: Buffer): Buffer | undefined;
   /** Handles the reply to a report that was sent to a peer. */
-  receiveAnswer(peer: Endpoint, report: Buffer): void;
+  receiveReply(peer: Endpoint, report: Buffer): void;
   /** Compares evidence with one node, for example one that is reachable again. */
   compareWith(peer: Endpoint): void;
   /** Compares evidence with random nodes; called at intervals. */
@@ -166,7 +166,7 @@
       if (report.digest === evidence.digest) return undefined;
       return encode({summaries: evidence.summaries()});
     },
-    receiveAnswer: (peer, payload) => {
+    receiveReply: (peer, payload) => {
       const report = decode(payload);
       if (report === undefined) return;
       const {crashes, summaries, wantedIds} = report;
--- a/src/process/repeats/repeat_budget.ts
+++ b/src/process/retries/retry_budget.ts
@@ -9,11 +9,11 @@
  * itself, and an equal part of the fixed slack.
  */
 import type {CallCounts} from '../admission/call_trees.js';
-import type {RepeatBound} from '../settings/node_settings.js';
+import type {RetryBound} from '../settings/node_settings.js';
 import type {WindowSum} from './window_sum.js';
 import {createWindowSum} from './window_sum.js';
 
-export interface RepeatBudget {
+export interface RetryBudget {
   /** Counts requests that this node sends or refuses itself. */
   recordRequest(counts: CallCounts): void;
   /**
@@ -24,9 +24,9 @@
   /** Takes one retry and the calls it will cause, or nothing at all. */
   tryTake(counts: CallCounts): boolean;
   /**
-   * Takes a retry of a request that an upstream rejected, if the pace allows
-   * it: the budget is spread over the window instead of spent in its first
-   * second.
+   * Takes a retry of a request that an upstream rejected, unless
+   * this bucket's share is spent: the budget is spread over the window instead of
+   * spent in its first second.
    */
   tryTakePaced(counts: CallCounts): boolean;
   /**
@@ -48,9 +48,9 @@
   readonly allowedCount: number;
 }
 
-export interface RepeatBudgetOptions {
+export interface RetryBudgetOptions {
   /** Returns the current limit, which the settings may change. */
-  readonly bound: () => RepeatBound;
+  readonly bound: () => RetryBound;
   readonly nowMillis: () => number;
   /** Returns the number of nodes in the fleet that may spend. */
   readonly nodesCount: () => number;
@@ -112,7 +112,7 @@
 }
 
 /** Creates a budget without usage. */
-export function createRepeatBudget(options: RepeatBudgetOptions): RepeatBudget {
+export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
   const {nowMillis} = options;
   const startedMillis = nowMillis();
   const usages = new Map<string, ServiceUsage>();
--- a/src/process/repeats/shared_retry_grant.ts
+++ b/src/process/retries/shared_retry_grant.ts
@@ -8,9 +8,9 @@
 export type DelegationRule = (remainingCount: number) => number;
 
 /**
- * Delegates all retries but one. A retry deeper in the chain repeats less work,
+ * Delegates all retries but one. A retry deeper in the chain redoes less work,
  * so most of the grant is passed down. But a lost response discards the
- * delegated retries, and only a retry kept here can then repeat the attempt.
+ * delegated retries, and only a retry kept here can then be spent on the attempt.
  */
 export const delegateAllButOne: DelegationRule = remainingCount =>
   Math.max(0, remainingCount - 1);
--- a/src/process/settings/node_settings.ts
+++ b/src/process/settings/node_settings.ts
@@ -9,7 +9,7 @@
 }
 
 /** Limit on the retries that one service receives from the whole fleet. */
-export interface RepeatBound {
+export interface RetryBound {
   /** Retries per request within the window. */
   readonly ratio: number;
   readonly windowMillis: number;
@@ -56,6 +56,6 @@
    * node.
    */
   readonly applyWithinMillis: number;
-  readonly repeatBound: RepeatBound;
+  readonly repeatBound: RetryBound;
   readonly quotaBound: QuotaBound;
 }
--- a/src/request/attempt_runner.ts
+++ b/src/request/attempt_runner.ts
@@ -5,12 +5,12 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {ExecutionCall, ExecutionResult} from '../connection/execution.js';
 import type {RemoteExecution} from '../connection/remote_execution.js';
-import type {AttemptTimeouts} from '../process/repeats/attempt_timeouts.js';
+import type {AttemptTimeouts} from '../process/retries/attempt_timeouts.js';
 import type {
   AttemptHistory,
   OfferOutcome,
-} from '../process/repeats/attempt_history.js';
-import {createAttemptHistory} from '../process/repeats/attempt_history.js';
+} from '../process/retries/attempt_history.js';
+import {createAttemptHistory} from '../process/retries/attempt_history.js';
 import type {
   Placement,
   PlacementChooser,
@@ -24,8 +24,8 @@
 import type {LocalExecution} from './local_execution.js';
 import type {TimedAttemptResult} from './attempt_timeout.js';
 import {runWithAttemptTimeout} from './attempt_timeout.js';
-import type {RepeatRules} from './repeat_rules.js';
-import {wasDispatched} from './repeat_rules.js';
+import type {RetryRules} from './retry_rules.js';
+import {wasDispatched} from './retry_rules.js';
 
 /** Combined result of all attempts of a request. */
 export interface AttemptsResult {
@@ -49,7 +49,7 @@
   readonly placement: PlacementChooser;
   readonly local: LocalExecution;
   readonly remote: RemoteExecution;
-  readonly rules: RepeatRules;
+  readonly rules: RetryRules;
   readonly quarantine: Pick<CrashQuarantine, 'holds'>;
   readonly attemptTimeouts: AttemptTimeouts;
   readonly stop: StopPlan;
--- a/src/request/entered_request.ts
+++ b/src/request/entered_request.ts
@@ -4,8 +4,8 @@
  */
 import {randomUUID} from 'node:crypto';
 import type {HttpExchange} from '../connection/http_listener.js';
-import type {InFlightParent} from '../process/repeats/in_flight_parents.js';
-import {createRetryGrant} from '../process/repeats/shared_retry_grant.js';
+import type {InFlightParent} from '../process/retries/in_flight_parents.js';
+import {createRetryGrant} from '../process/retries/shared_retry_grant.js';
 import {
   importanceOf,
   LEAST_IMPORTANT,
--- a/src/request/entry_responder.ts
+++ b/src/request/entry_responder.ts
@@ -157,7 +157,7 @@
   };
 
   /** Reports the number of retries that the request has spent. */
-  const repeatNotes = ({route, origin}: OpenRequest): readonly string[] => {
+  const retryNotes = ({route, origin}: OpenRequest): readonly string[] => {
     const {notes} = options;
     if (notes === undefined) return [];
     const spentCount = route.repeatsCount - origin.grant.remaining();
@@ -191,7 +191,7 @@
     const headers = [
       ...forwardedHeaders(answer.headers, NO_HEADERS),
       ...versionNotes(),
-      ...repeatNotes(request),
+      ...retryNotes(request),
       ...closingHeaders(exchange, false),
     ];
     const method = exchange.request.method ?? 'GET';
@@ -255,7 +255,7 @@
           : STATUS_BAD_GATEWAY;
       writeEmptyResponse(exchange, statusCode, [
         ...failureNotes('unknown', end.lastResult.reason),
-        ...repeatNotes(request),
+        ...retryNotes(request),
       ]);
       const millis = recordResponse(request, statusCode);
       log.logRequestEvent('failed', {
--- a/src/request/inbound_exchange.ts
+++ b/src/request/inbound_exchange.ts
@@ -3,12 +3,12 @@
  */
 import type {ExecutionResult} from '../connection/execution.js';
 import type {IncomingHop} from '../connection/incoming_hop.js';
-import type {CallOrigin} from '../process/repeats/in_flight_parents.js';
+import type {CallOrigin} from '../process/retries/in_flight_parents.js';
 import {NO_CALLS} from '../process/admission/call_trees.js';
 import {LEAST_IMPORTANT} from '../process/admission/importance.js';
 import type {PeerPositions} from '../process/membership/peer_positions.js';
 import type {LoadReport} from '../process/admission/load_table.js';
-import {createRetryGrant} from '../process/repeats/shared_retry_grant.js';
+import {createRetryGrant} from '../process/retries/shared_retry_grant.js';
 import type {
   HopResponse,
   LoadFields,
--- a/src/request/local_execution.ts
+++ b/src/request/local_execution.ts
@@ -15,9 +15,9 @@
 import type {
   InFlightParent,
   InFlightParents,
-} from '../process/repeats/in_flight_parents.js';
+} from '../process/retries/in_flight_parents.js';
 import type {RejectionRate} from '../process/admission/rejection_rate.js';
-import type {RepeatBudget} from '../process/repeats/repeat_budget.js';
+import type {RetryBudget} from '../process/retries/retry_budget.js';
 import type {RelativeSlowness} from '../process/placement/relative_slowness.js';
 import type {
   SlotRequest,
@@ -52,7 +52,7 @@
   readonly crashes: CrashDetector;
   readonly quarantine: CrashQuarantine;
   readonly sender: UpstreamSender;
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   readonly trees: CallTrees;
   readonly ownService: () => string;
   readonly nowMillis: () => number;
--- a/src/request/open_request.ts
+++ b/src/request/open_request.ts
@@ -4,7 +4,7 @@
 import type {HttpExchange} from '../connection/http_listener.js';
 import type {ShedCause} from '../process/admission/entry_admission.js';
 import type {QuotaDecision} from '../process/quota/quota_enforcer.js';
-import type {CallOrigin} from '../process/repeats/in_flight_parents.js';
+import type {CallOrigin} from '../process/retries/in_flight_parents.js';
 import type {ServiceRoute} from '../version/route_configuration.js';
 
 /** A request that entered at this node and has no response yet. */
--- a/src/request/outbound_exchange.ts
+++ b/src/request/outbound_exchange.ts
@@ -15,9 +15,9 @@
 import type {
   InFlightParent,
   InFlightParents,
-} from '../process/repeats/in_flight_parents.js';
+} from '../process/retries/in_flight_parents.js';
 import type {LoadPoller} from '../process/admission/load_poller.js';
-import type {RepeatBudget} from '../process/repeats/repeat_budget.js';
+import type {RetryBudget} from '../process/retries/retry_budget.js';
 import type {
   QuotaDecision,
   QuotaEnforcer,
@@ -52,7 +52,7 @@
   readonly loadPoller: LoadPoller;
   readonly targets: WeightedTargets;
   readonly trees: CallTrees;
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   readonly quotas: QuotaEnforcer;
   readonly parents: InFlightParents;
   readonly stop: StopPlan;
--- a/src/request/request_routing.ts
+++ b/src/request/request_routing.ts
@@ -4,7 +4,7 @@
  */
 import type {HttpExchange} from '../connection/http_listener.js';
 import type {ConfigurationHolder} from '../process/membership/configuration_holder.js';
-import type {InFlightParents} from '../process/repeats/in_flight_parents.js';
+import type {InFlightParents} from '../process/retries/in_flight_parents.js';
 import type {WireHeaders} from '../protocol/wire_headers.js';
 import type {RouteTable} from '../version/route_table.js';
 import type {EntryResponder} from './entry_responder.js';
--- a/src/request/repeat_rules.ts
+++ b/src/request/retry_rules.ts
@@ -7,12 +7,12 @@
 import type {CallCounts, CallTrees} from '../process/admission/call_trees.js';
 import {attemptCallCounts} from '../process/admission/call_trees.js';
 import type {LoadTable} from '../process/admission/load_table.js';
-import type {RepeatBudget} from '../process/repeats/repeat_budget.js';
+import type {RetryBudget} from '../process/retries/retry_budget.js';
 import type {AttemptedRequest} from './attempted_request.js';
 import {ISOLATED_CRASHES_COUNT} from './crash_quarantine.js';
 
 /** Retry rules of a node. */
-export interface RepeatRules {
+export interface RetryRules {
   /**
    * Whether to retry after an attempt; charges the retry to the budget. `ranCount` is the
    * number of upstreams that may have executed the request.
@@ -30,8 +30,8 @@
 }
 
 /** Dependencies of the rules. */
-export interface RepeatRulesOptions {
-  readonly budget: RepeatBudget;
+export interface RetryRulesOptions {
+  readonly budget: RetryBudget;
   readonly trees: CallTrees;
   readonly loadTable: LoadTable;
   readonly nowMillis: () => number;
@@ -41,7 +41,7 @@
 const MIN_LEFT_MILLIS = 20;
 
 /** Creates the retry rules of a node. */
-export function createRepeatRules(options: RepeatRulesOptions): RepeatRules {
+export function createRetryRules(options: RetryRulesOptions): RetryRules {
   const {budget, trees, loadTable, nowMillis} = options;
 
   const leftMillis = ({call}: AttemptedRequest): number =>
--- a/src/version/route_configuration.ts
+++ b/src/version/route_configuration.ts
@@ -13,7 +13,7 @@
  * needs ten retries, and nine in ten such requests need no more than this
  * limit; the retry budget limits the total.
  */
-export const DEFAULT_REPEATS_COUNT = 16;
+export const DEFAULT_RETRIES_COUNT = 16;
 
 /** A service that receives a share of a route's requests. */
 export interface WeightedService {
@@ -55,7 +55,7 @@
 }
 
 /** Limit on the retries that one node sends. */
-export interface RetryBudget {
+export interface RetryBudgetLimits {
   /** Retries allowed per request. */
   readonly ratio: number;
   /** Retries allowed per second in addition. */
--- a/src/version/route_table.ts
+++ b/src/version/route_table.ts
@@ -5,7 +5,7 @@
 import {createOrganisationDirectory} from './organisation.js';
 import type {
   ClientLimits,
-  RetryBudget,
+  RetryBudgetLimits,
   RouteConfiguration,
   ServiceRoute,
 } from './route_configuration.js';
@@ -24,7 +24,7 @@
   readonly version: number;
   readonly limits: ClientLimits;
   /** Limit on the retries of a node, if the document defines it. */
-  readonly retryBudget?: RetryBudget;
+  readonly retryBudget?: RetryBudgetLimits;
   /** The document text, with digests in place of API keys. */
   readonly document: string;
   /** Rank of the least important routes. */
--- a/test/fakes/execution_call.ts
+++ b/test/fakes/execution_call.ts
@@ -4,12 +4,12 @@
  */
 import {createCancelSource} from '../../src/base/cancel_signal.js';
 import type {ExecutionCall} from '../../src/connection/execution.js';
-import {createRetryGrant} from '../../src/process/repeats/shared_retry_grant.js';
+import {createRetryGrant} from '../../src/process/retries/shared_retry_grant.js';
 
 /** Time that a call has if the test does not say. */
 const LEFT_MILLIS = 5000;
 
-/** A read of a client with three repeats, made at `nowMillis`. */
+/** A read of a client with three retries, made at `nowMillis`. */
 export function executionCall(
   nowMillis: number,
   fields: Partial<ExecutionCall> = {},
--- a/test/fakes/fleet_replay.ts
+++ b/test/fakes/fleet_replay.ts
@@ -6,7 +6,7 @@
 import {LEVEL_WINDOW_MILLIS} from '../../src/process/admission/admission_level.js';
 import {importanceOf} from '../../src/process/admission/importance.js';
 import {downstreamCallCounts} from '../../src/process/admission/call_trees.js';
-import {createAttemptHistory} from '../../src/process/repeats/attempt_history.js';
+import {createAttemptHistory} from '../../src/process/retries/attempt_history.js';
 import {createSeededRandom} from '../../src/emulator/seeded_random.js';
 import {createEventClock} from './event_clock.js';
 import type {
@@ -15,8 +15,8 @@
   ReplayOutcome,
 } from './fleet_load.js';
 import {addCounts, emptyOutcomes, emptyRuns} from './fleet_load.js';
-import {createRetryGrant} from '../../src/process/repeats/shared_retry_grant.js';
-import {DEFAULT_REPEATS_COUNT} from '../../src/version/route_configuration.js';
+import {createRetryGrant} from '../../src/process/retries/shared_retry_grant.js';
+import {DEFAULT_RETRIES_COUNT} from '../../src/version/route_configuration.js';
 import type {Placement} from '../../src/process/placement/placement.js';
 import type {Call, CallEnd, Root, Run, Verdict} from './replay_calls.js';
 import {creditRuns} from './replay_calls.js';
@@ -183,7 +183,7 @@
     const offer = (): void => {
       const {name, service, objectiveMillis} = call.route;
       const offeredMillis = nowMillis();
-      const usualMillis = from.patience.usualMillis(name);
+      const usualMillis = from.attemptTimeouts.usualMillis(name);
       const choose = (): Placement | undefined =>
         from.placement.choose(service, history.excludedIds, () => false, {
           objectiveMillis,
@@ -231,7 +231,7 @@
               clock.after(delayMillis, () => {
                 learn();
                 if (end === 'served') {
-                  from.patience.recordResponse(
+                  from.attemptTimeouts.recordResponse(
                     name,
                     nowMillis() - offeredMillis,
                   );
@@ -267,7 +267,7 @@
       id,
       importance: importanceOf(route.rank, id),
       beganAtMillis: nowMillis(),
-      grant: createRetryGrant(DEFAULT_REPEATS_COUNT),
+      grant: createRetryGrant(DEFAULT_RETRIES_COUNT),
       runs: [],
     };
     const refuse = (): void => {
--- a/test/fakes/platform_fleet.ts
+++ b/test/fakes/platform_fleet.ts
@@ -92,12 +92,12 @@
   readonly slots?: number;
   /** Time in which a document has to be in force; changes gather for most of it. */
   readonly applyWithinMillis?: number;
-  /** Repeats of the whole fleet beyond its ratio; plenty if left out. */
+  /** Retries that the fleet may send beyond the ratio; the default is rarely reached. */
   readonly slackCount?: number;
 }
 
-/** Repeats that the fleet may send for each request. */
-export const REPEAT_RATIO = 0.2;
+/** Retries that the fleet may send per request. */
+export const RETRY_RATIO = 0.2;
 
 /** A route as operators write it. */
 export function fleetPath(fields: object = {}): object {
@@ -298,7 +298,7 @@
     graceMillis: 6000,
     applyWithinMillis: parts.applyWithinMillis,
     repeatBound: {
-      ratio: REPEAT_RATIO,
+      ratio: RETRY_RATIO,
       windowMillis: 10_000,
       slackCount: parts.slackCount,
     },
--- a/test/fakes/relay_fleet.ts
+++ b/test/fakes/relay_fleet.ts
@@ -149,7 +149,7 @@
       prefix: '',
       peerPositions: positions,
       relay,
-      pace: createFollowerPacing({
+      pacing: createFollowerPacing({
         applyWithinMillis: options.applyWithinMillis,
         relayReserveMillis: RELAY_RESERVE_MILLIS,
         random,
--- a/test/fakes/replay_calls.ts
+++ b/test/fakes/replay_calls.ts
@@ -1,7 +1,7 @@
 /**
  * Requests on their way through a replayed fleet.
  */
-import type {RetryGrant} from '../../src/process/repeats/retry_grant.js';
+import type {RetryGrant} from '../../src/process/retries/retry_grant.js';
 import type {ReplayRoute, ServiceOutcome} from './fleet_load.js';
 
 /** What a node tells about a request before its upstream works on it. */
--- a/test/fakes/replay_node.ts
+++ b/test/fakes/replay_node.ts
@@ -25,12 +25,12 @@
   createRejectionRate,
   isRejecting,
 } from '../../src/process/admission/rejection_rate.js';
-import type {AttemptTimeouts} from '../../src/process/repeats/attempt_timeouts.js';
-import {createAttemptTimeouts} from '../../src/process/repeats/attempt_timeouts.js';
+import type {AttemptTimeouts} from '../../src/process/retries/attempt_timeouts.js';
+import {createAttemptTimeouts} from '../../src/process/retries/attempt_timeouts.js';
 import type {RelativeSlowness} from '../../src/process/placement/relative_slowness.js';
 import {createRelativeSlowness} from '../../src/process/placement/relative_slowness.js';
-import type {RepeatBudget} from '../../src/process/repeats/repeat_budget.js';
-import {createRepeatBudget} from '../../src/process/repeats/repeat_budget.js';
+import type {RetryBudget} from '../../src/process/retries/retry_budget.js';
+import {createRetryBudget} from '../../src/process/retries/retry_budget.js';
 import {createUpstreamDirectory} from '../../src/process/membership/upstream_directory.js';
 import type {UpstreamEntry} from '../../src/process/membership/upstream_entry.js';
 import type {UpstreamQueue} from '../../src/process/admission/upstream_queue.js';
@@ -58,12 +58,12 @@
   readonly speed: number;
   /** Share of what its upstream is handed now that it rejects. */
   rejectRatioNow(): number;
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   readonly queue: UpstreamQueue;
   readonly level: AdmissionLevel;
   readonly rejections: RejectionRate;
   readonly slowness: RelativeSlowness;
-  readonly patience: AttemptTimeouts;
+  readonly attemptTimeouts: AttemptTimeouts;
   readonly loadTable: LoadTable;
   readonly trees: CallTrees;
   readonly entryAdmission: EntryAdmission;
@@ -83,8 +83,8 @@
 const REPORT_MILLIS = 100;
 const REPORTED_LOADS_COUNT = 6;
 
-/** Repeats that a service may receive from the whole fleet. */
-const REPEAT_BOUND = {ratio: 0.2, windowMillis: 10_000, slackCount: 50};
+/** Limit on the retries that a service receives from the whole fleet. */
+const RETRY_BOUND = {ratio: 0.2, windowMillis: 10_000, slackCount: 50};
 
 /** Creates a node that knows of all upstreams and nothing else. */
 function createReplayNode(options: ReplayNodeOptions): ReplayNode {
@@ -109,8 +109,8 @@
     nowMillis,
     random,
   });
-  const budget = createRepeatBudget({
-    bound: () => REPEAT_BOUND,
+  const budget = createRetryBudget({
+    bound: () => RETRY_BOUND,
     nowMillis,
     nodesCount: () => entries.length,
   });
@@ -170,7 +170,7 @@
     level,
     rejections,
     slowness,
-    patience: createAttemptTimeouts(),
+    attemptTimeouts: createAttemptTimeouts(),
     loadTable,
     trees,
     entryAdmission,
--- a/test/fakes/route_documents.ts
+++ b/test/fakes/route_documents.ts
@@ -9,7 +9,7 @@
   ServiceRoute,
 } from '../../src/version/route_configuration.js';
 
-/** A route that may be repeated, for `shop.example/a/` to `orders`. */
+/** Creates a route whose requests may be retried, for `shop.example/a/` to `orders`. */
 export function serviceRoute(fields: Partial<ServiceRoute> = {}): ServiceRoute {
   return {
     name: 'route',
--- a/test/unit/connection/document_follower.test.ts
+++ b/test/unit/connection/document_follower.test.ts
@@ -23,7 +23,7 @@
     followDocuments({
       prefix: 'p/',
       nowMillis: () => 0,
-      pace: createFollowerPacing({applyWithinMillis: 2000, random: () => 0}),
+      pacing: createFollowerPacing({applyWithinMillis: 2000, random: () => 0}),
       listener: {
         onCall: () => undefined,
         onRestored: () => undefined,
--- a/test/unit/connection/document_follower_load.test.ts
+++ b/test/unit/connection/document_follower_load.test.ts
@@ -66,7 +66,7 @@
     },
     prefix: '',
     peerPositions,
-    pace: createFollowerPacing({
+    pacing: createFollowerPacing({
       applyWithinMillis,
       random: createSeededRandom(5),
     }),
--- a/test/unit/daemon/restored_source_model.test.ts
+++ b/test/unit/daemon/restored_source_model.test.ts
@@ -187,7 +187,7 @@
     endMillis: nextMillis + actsMillis + SETTLE_MILLIS,
     prefix: '',
     peerPositions: createPeerPositions(),
-    pace: createFollowerPacing({applyWithinMillis: 2000, random}),
+    pacing: createFollowerPacing({applyWithinMillis: 2000, random}),
     listener: createPrefixListener(listeners.byPrefix),
     act: atMillis => {
       while (remainingActs.length > 0 && atMillis >= nextMillis) {
--- a/test/unit/process/admission/call_trees.test.ts
+++ b/test/unit/process/admission/call_trees.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {createCallTrees} from '../../../../src/process/admission/call_trees.js';
-import {createRetryGrant} from '../../../../src/process/repeats/shared_retry_grant.js';
-import {createInFlightParents} from '../../../../src/process/repeats/in_flight_parents.js';
+import {createRetryGrant} from '../../../../src/process/retries/shared_retry_grant.js';
+import {createInFlightParents} from '../../../../src/process/retries/in_flight_parents.js';
 
 const ORIGIN = {
   importance: 7,
--- a/test/unit/process/quarantine/crash_gossip.test.ts
+++ b/test/unit/process/quarantine/crash_gossip.test.ts
@@ -67,7 +67,7 @@
       const answer = target.gossip.receive(report);
       if (answer === undefined) return;
       deliver(target, node, answer, () => {
-        node.gossip.receiveAnswer(peer, answer);
+        node.gossip.receiveReply(peer, answer);
       });
     });
   };
--- a/test/unit/process/repeats/attempt_history.test.ts
+++ b/test/unit/process/retries/attempt_history.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {createAttemptHistory} from '../../../../src/process/repeats/attempt_history.js';
+import {createAttemptHistory} from '../../../../src/process/retries/attempt_history.js';
 
 test('after rejections by all upstreams they are tried again, a bounded number of times', t => {
   // Load: two upstreams that reject half of the requests they receive.
--- a/test/unit/process/repeats/attempt_timeouts.test.ts
+++ b/test/unit/process/retries/attempt_timeouts.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {createAttemptTimeouts} from '../../../../src/process/repeats/attempt_timeouts.js';
+import {createAttemptTimeouts} from '../../../../src/process/retries/attempt_timeouts.js';
 import {createSeededRandom} from '../../../fakes/seeded_random.js';
 
 const KEY = 'lookup';
--- a/test/unit/process/repeats/hop_registry.test.ts
+++ b/test/unit/process/retries/hop_registry.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {createHopRegistry} from '../../../../src/process/repeats/hop_registry.js';
+import {createHopRegistry} from '../../../../src/process/retries/hop_registry.js';
 
 const RESPONSE_BYTES = 100;
 
--- a/test/unit/process/repeats/repeat_budget.test.ts
+++ b/test/unit/process/retries/retry_budget.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
-import type {RepeatBudget} from '../../../../src/process/repeats/repeat_budget.js';
-import {createRepeatBudget} from '../../../../src/process/repeats/repeat_budget.js';
+import type {RetryBudget} from '../../../../src/process/retries/retry_budget.js';
+import {createRetryBudget} from '../../../../src/process/retries/retry_budget.js';
 
 const BOUND = {ratio: 0.2, windowMillis: 10_000, slackCount: 40};
 
 function createFixture(nodesCount: number) {
   let now = 0;
-  const budget = createRepeatBudget({
+  const budget = createRetryBudget({
     bound: () => BOUND,
     nowMillis: () => now,
     nodesCount: () => nodesCount,
@@ -133,17 +133,17 @@
   // has no record of what its previous process spent just before.
   let now = 60_000;
   const startNode = () =>
-    createRepeatBudget({
+    createRetryBudget({
       bound: () => BOUND,
       nowMillis: () => now,
       nodesCount: () => 1,
     });
-  const takeAll = (budget: RepeatBudget): number => {
+  const takeAll = (budget: RetryBudget): number => {
     let takenCount = 0;
     while (budget.tryTake(ONE)) takenCount += 1;
     return takenCount;
   };
-  const serve = (budget: RepeatBudget, untilMillis: number): number => {
+  const serve = (budget: RetryBudget, untilMillis: number): number => {
     let takenCount = 0;
     while (now < untilMillis) {
       now += 10;
--- a/test/unit/process/repeats/shared_retry_grant.test.ts
+++ b/test/unit/process/retries/shared_retry_grant.test.ts
@@ -3,12 +3,12 @@
 import type {
   RetryGrant,
   DelegatedRetries,
-} from '../../../../src/process/repeats/retry_grant.js';
-import type {DelegationRule} from '../../../../src/process/repeats/shared_retry_grant.js';
+} from '../../../../src/process/retries/retry_grant.js';
+import type {DelegationRule} from '../../../../src/process/retries/shared_retry_grant.js';
 import {
   createRetryGrant,
   delegateAllButOne,
-} from '../../../../src/process/repeats/shared_retry_grant.js';
+} from '../../../../src/process/retries/shared_retry_grant.js';
 import {createSeededRandom} from '../../../fakes/seeded_random.js';
 
 /** A call tree in which every hop calls `fanOutCount` hosts. */
--- a/test/unit/request/attempt_runner.test.ts
+++ b/test/unit/request/attempt_runner.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
 import type {ExecutionResult} from '../../../src/connection/execution.js';
-import {createAttemptTimeouts} from '../../../src/process/repeats/attempt_timeouts.js';
+import {createAttemptTimeouts} from '../../../src/process/retries/attempt_timeouts.js';
 import {createLoadTable} from '../../../src/process/admission/load_table.js';
 import {createPlacementChooser} from '../../../src/process/placement/placement.js';
 import {createStopPlan} from '../../../src/process/stop/stop_plan.js';
 import {createUpstreamDirectory} from '../../../src/process/membership/upstream_directory.js';
 import {createAttemptRunner} from '../../../src/request/attempt_runner.js';
-import type {RepeatRules} from '../../../src/request/repeat_rules.js';
+import type {RetryRules} from '../../../src/request/retry_rules.js';
 import {executionCall} from '../../fakes/execution_call.js';
 import {serviceRoute, upstreamEntry} from '../../fakes/route_documents.js';
 
@@ -19,7 +19,7 @@
 
 const nowMillis = (): number => performance.now();
 
-const RULES: RepeatRules = {
+const RULES: RetryRules = {
   mayRetry: (_request, _end, sentCount) => sentCount < 4,
   mayAbandonAttempt: () => false,
 };
--- a/test/unit/request/misdirected.test.ts
+++ b/test/unit/request/misdirected.test.ts
@@ -4,11 +4,11 @@
 import {createAdmissionLevel} from '../../../src/process/admission/admission_level.js';
 import {createCallTrees} from '../../../src/process/admission/call_trees.js';
 import {createCrashEvidence} from '../../../src/process/quarantine/crash_evidence.js';
-import {createInFlightParents} from '../../../src/process/repeats/in_flight_parents.js';
+import {createInFlightParents} from '../../../src/process/retries/in_flight_parents.js';
 import {createLoadTable} from '../../../src/process/admission/load_table.js';
 import {createRejectionRate} from '../../../src/process/admission/rejection_rate.js';
 import {createRelativeSlowness} from '../../../src/process/placement/relative_slowness.js';
-import {createRepeatBudget} from '../../../src/process/repeats/repeat_budget.js';
+import {createRetryBudget} from '../../../src/process/retries/retry_budget.js';
 import {createUpstreamDirectory} from '../../../src/process/membership/upstream_directory.js';
 import {createUpstreamQueue} from '../../../src/process/admission/upstream_queue.js';
 import type {HopReason} from '../../../src/protocol/hop_messages.js';
@@ -17,7 +17,7 @@
 import type {LocalCall} from '../../../src/request/local_execution.js';
 import {createLocalExecution} from '../../../src/request/local_execution.js';
 import {createLocalUpstream} from '../../../src/request/local_upstream.js';
-import {createRepeatRules} from '../../../src/request/repeat_rules.js';
+import {createRetryRules} from '../../../src/request/retry_rules.js';
 import {executionCall} from '../../fakes/execution_call.js';
 import {serviceRoute, upstreamEntry} from '../../fakes/route_documents.js';
 
@@ -83,7 +83,7 @@
       closeIdleConnections: () => undefined,
       dispose: () => undefined,
     },
-    budget: createRepeatBudget({
+    budget: createRetryBudget({
       bound: () => BOUND,
       nowMillis,
       nodesCount: () => 1,
@@ -131,8 +131,8 @@
   // attempt is a retry. The budget did not charge it, as after a refusal by a node.
   const {nowMillis} = createFixture();
   const trees = createCallTrees();
-  const rules = createRepeatRules({
-    budget: createRepeatBudget({
+  const rules = createRetryRules({
+    budget: createRetryBudget({
       bound: () => BOUND,
       nowMillis,
       nodesCount: () => 1,
--- a/test/unit/request/repeat_rules.test.ts
+++ b/test/unit/request/retry_rules.test.ts
@@ -2,9 +2,9 @@
 import type {ExecutionResult} from '../../../src/connection/execution.js';
 import {createCallTrees} from '../../../src/process/admission/call_trees.js';
 import {createLoadTable} from '../../../src/process/admission/load_table.js';
-import {createRepeatBudget} from '../../../src/process/repeats/repeat_budget.js';
+import {createRetryBudget} from '../../../src/process/retries/retry_budget.js';
 import type {AttemptedRequest} from '../../../src/request/attempted_request.js';
-import {createRepeatRules} from '../../../src/request/repeat_rules.js';
+import {createRetryRules} from '../../../src/request/retry_rules.js';
 import {executionCall} from '../../fakes/execution_call.js';
 import {serviceRoute} from '../../fakes/route_documents.js';
 
@@ -20,13 +20,13 @@
 function createFixture() {
   let now = 0;
   const nowMillis = (): number => now;
-  const budget = createRepeatBudget({
+  const budget = createRetryBudget({
     bound: () => BOUND,
     nowMillis,
     nodesCount: () => 1,
   });
   now += 60_000;
-  const rules = createRepeatRules({
+  const rules = createRetryRules({
     budget,
     trees: createCallTrees(),
     loadTable: createLoadTable(nowMillis),
