--- a/src/cli/admin_client.ts
+++ b/src/cli/admin_client.ts
@@ -17,16 +17,16 @@
   readonly text: string;
 }
 
-const ADDRESS =
+const ADDRESS_PATTERN =
   /^(?:\[(?<v6>[0-9a-fA-F:.]+)\]|(?<plain>[^:[\]/\s]+)):(?<port>\d{1,5})$/;
 const PORT_MAXIMUM = 65_535;
-const ANSWER_MILLIS = 5000;
-const ANSWER_MAXIMUM_BYTES = 16_777_216;
+const RESPONSE_TIMEOUT_MILLIS = 5000;
+const RESPONSE_MAXIMUM_BYTES = 16_777_216;
 const STATUS_OK = 200;
 
 /** Reads `address:port`, the address in brackets if it is IPv6. */
 export function parseAdminAddress(text: string): AdminAddress {
-  const groups = ADDRESS.exec(text)?.groups;
+  const groups = ADDRESS_PATTERN.exec(text)?.groups;
   const host = groups?.['v6'] ?? groups?.['plain'];
   const port = Number(groups?.['port']);
   if (host !== undefined && port >= 1 && port <= PORT_MAXIMUM) {
@@ -42,16 +42,16 @@
   path: string,
 ): Promise<unknown> {
   const peer = address.text;
-  const signal = AbortSignal.timeout(ANSWER_MILLIS);
-  const response = await connect(address, path, signal);
-  const text = await readText(response, peer);
+  const signal = AbortSignal.timeout(RESPONSE_TIMEOUT_MILLIS);
+  const response = await sendGetRequest(address, path, signal);
+  const text = await readResponseText(response, peer);
   const content = parseJson(text, peer);
   if (response.statusCode === STATUS_OK) return content;
-  const message = `HTTP ${String(response.statusCode)}: ${messageOf(content)}`;
+  const message = `HTTP ${String(response.statusCode)}: ${errorMessageOf(content)}`;
   throw new TransportError(message, {props: {step: 'answer', peer}});
 }
 
-async function connect(
+async function sendGetRequest(
   address: AdminAddress,
   path: string,
   signal: AbortSignal,
@@ -66,7 +66,7 @@
   });
 }
 
-async function readText(
+async function readResponseText(
   response: http.IncomingMessage,
   peer: string,
 ): Promise<string> {
@@ -75,8 +75,8 @@
   try {
     for await (const chunk of response as AsyncIterable<Buffer>) {
       sizeBytes += chunk.byteLength;
-      if (sizeBytes > ANSWER_MAXIMUM_BYTES) {
-        const message = `The answer is larger than ${String(ANSWER_MAXIMUM_BYTES)} bytes`;
+      if (sizeBytes > RESPONSE_MAXIMUM_BYTES) {
+        const message = `The answer is larger than ${String(RESPONSE_MAXIMUM_BYTES)} bytes`;
         throw new CapacityError(message);
       }
       chunks.push(chunk);
@@ -99,7 +99,7 @@
   }
 }
 
-function messageOf(content: unknown): string {
+function errorMessageOf(content: unknown): string {
   if (typeof content !== 'object' || content === null) return '';
   return 'message' in content ? String(content.message) : '';
 }
--- a/src/cli/console/checks_renderer.ts
+++ b/src/cli/console/checks_renderer.ts
@@ -1,13 +1,13 @@
 /**
  * What the checks say about a draft and what it does, drawn beside the forms.
  */
-import type {ChangeSummary} from './change_summary.js';
+import type {DraftSummary} from './draft_summary.js';
 import type {DraftGroup} from './draft.js';
 import type {FieldProblem} from './field_problems.js';
 import {policyFormModel} from './form_model.js';
 import type {Html} from './html.js';
-import {html, NO_HTML, renderCodeWords} from './html.js';
-import {describePlace} from './place_names.js';
+import {html, EMPTY_HTML, renderCodeSpans} from './html.js';
+import {describeLocation} from './draft_locations.js';
 import {
   renderChanges,
   renderClasses,
@@ -24,16 +24,16 @@
   /** What to know about the step from the previous document. */
   readonly notes: readonly string[];
   /** Undefined while the document by itself is invalid. */
-  readonly summary: ChangeSummary | undefined;
+  readonly summary: DraftSummary | undefined;
   /** Whether this very document was just saved. */
   readonly isSaved: boolean;
 }
 
 /** Problems listed; a large document can have thousands. */
-const LISTED_PROBLEMS_COUNT = 100;
+const MAX_LISTED_PROBLEMS_COUNT = 100;
 
 /** The state of the draft in a few words. */
-export function renderState({problems, isSaved}: ChecksView): Html {
+export function renderDraftStatus({problems, isSaved}: ChecksView): Html {
   const count = problems.length;
   if (count > 0) {
     const noun = count === 1 ? 'problem' : 'problems';
@@ -83,12 +83,12 @@
           More may follow: rules that involve several fields are checked once
           each field is valid by itself.
         </p>`
-      : NO_HTML
+      : EMPTY_HTML
   }
   ${
     warnings.length + notes.length > 0
       ? renderWarnings(draft, warnings, notes)
-      : NO_HTML
+      : EMPTY_HTML
   }`;
 }
 
@@ -96,12 +96,12 @@
   draft: DraftGroup,
   problems: readonly FieldProblem[],
 ): Html {
-  const listed = problems.slice(0, LISTED_PROBLEMS_COUNT);
+  const listed = problems.slice(0, MAX_LISTED_PROBLEMS_COUNT);
   const hiddenCount = problems.length - listed.length;
   return html`<ol class="problems">
       ${listed.map(problem => renderProblem(draft, problem))}
     </ol>
-    ${hiddenCount > 0 ? html`<p>and ${hiddenCount} more</p>` : NO_HTML}`;
+    ${hiddenCount > 0 ? html`<p>and ${hiddenCount} more</p>` : EMPTY_HTML}`;
 }
 
 function renderWarnings(
@@ -121,8 +121,8 @@
   {name, found, allowed}: FieldProblem,
 ): Html {
   return html`<li>
-    <a href="#${anchorOf(name)}">${describePlace(draft, name)}</a>: ${found}
-    Allowed: ${renderCodeWords(allowed)}.
+    <a href="#${anchorOf(name)}">${describeLocation(draft, name)}</a>: ${found}
+    Allowed: ${renderCodeSpans(allowed)}.
   </li>`;
 }
 
--- a/src/cli/console/console_command.ts
+++ b/src/cli/console/console_command.ts
@@ -7,7 +7,7 @@
 import {createConsoleSession} from './console_session.js';
 import type {CommandOutput, ExitCode} from '../command_output.js';
 import {EXIT, processOutput} from '../command_output.js';
-import {readUsablePolicy} from '../policy_file.js';
+import {readValidPolicy} from '../policy_file.js';
 import {describeError} from '../../base/errors.js';
 import {createDisposableStore, toDisposable} from '../../base/lifecycle.js';
 
@@ -50,9 +50,13 @@
         throw new Error(`--port goes from 0 to ${String(PORT_MAXIMUM)}`);
       }),
   handler: async args => {
-    const signals = createSignalWatch();
-    process.exitCode = await runConsole(args, processOutput, signals.signal);
-    signals.dispose();
+    const stopSignals = createSignalWatch();
+    process.exitCode = await runConsole(
+      args,
+      processOutput,
+      stopSignals.signal,
+    );
+    stopSignals.dispose();
   },
 };
 
@@ -63,7 +67,7 @@
   signal: AbortSignal,
 ): Promise<ExitCode> {
   const previous =
-    args.file === undefined ? undefined : readUsablePolicy(args.file, output);
+    args.file === undefined ? undefined : readValidPolicy(args.file, output);
   if (typeof previous === 'number') return previous;
   const session = createConsoleSession({previous, outputFile: args.out});
   let server: ConsoleServer;
--- a/src/cli/console/console_pages.ts
+++ b/src/cli/console/console_pages.ts
@@ -4,7 +4,7 @@
 import {readFileSync} from 'node:fs';
 import type * as http from 'node:http';
 import {isDeepStrictEqual} from 'node:util';
-import {summarizeChange} from './change_summary.js';
+import {summarizeDraft} from './draft_summary.js';
 import type {ConsoleSession} from './console_session.js';
 import type {DraftReport} from './document_builder.js';
 import type {DraftGroup} from './draft.js';
@@ -14,8 +14,8 @@
 import type {FormSubmission} from './form_fields.js';
 import {readSubmission} from './form_fields.js';
 import {policyFormModel} from './form_model.js';
-import type {HttpAnswer} from './http_answer.js';
-import {pageAnswer, textAnswer} from './http_answer.js';
+import type {HttpResponse} from './http_response.js';
+import {pageResponse, textResponse} from './http_response.js';
 import type {PageView, SavedNotice} from './page_renderer.js';
 import {renderLiveParts, renderPage} from './page_renderer.js';
 import {STYLESHEET} from './stylesheet.js';
@@ -24,7 +24,7 @@
 export type PageHandler = (
   request: http.IncomingMessage,
   page: string,
-) => Promise<HttpAnswer>;
+) => Promise<HttpResponse>;
 
 const OK = 200;
 const NOT_FOUND = 404;
@@ -35,64 +35,64 @@
 export function createPageHandler(session: ConsoleSession): PageHandler {
   const script = readFileSync(new URL('live_check_client.js', import.meta.url));
   return async (request, page) => {
-    if (request.method === 'GET') return answerRead(session, script, page);
+    if (request.method === 'GET') return handleGet(session, script, page);
     if (request.method !== 'POST') {
-      return textAnswer(METHOD_NOT_ALLOWED, 'Only GET and POST.');
+      return textResponse(METHOD_NOT_ALLOWED, 'Only GET and POST.');
     }
     const fields = await readFormBody(request);
     const submission = readSubmission(policyFormModel, fields);
-    return answerForm(session, page, submission);
+    return handleForm(session, page, submission);
   };
 }
 
-function answerRead(
+function handleGet(
   session: ConsoleSession,
   script: Uint8Array,
   page: string,
-): HttpAnswer {
+): HttpResponse {
   switch (page) {
     case '':
-      return pageAnswer(
+      return pageResponse(
         OK,
-        renderPage(createView(session, session.startDraft())),
+        renderPage(createPageView(session, session.createInitialDraft())),
       );
     case 'console.css':
       return {statusCode: OK, contentType: 'text/css', body: STYLESHEET};
     case 'live_check.js':
       return {statusCode: OK, contentType: 'text/javascript', body: script};
     case 'document':
-      return answerDownload(session);
+      return handleDownload(session);
     default:
-      return textAnswer(NOT_FOUND, 'No such page.');
+      return textResponse(NOT_FOUND, 'No such page.');
   }
 }
 
-function answerForm(
+function handleForm(
   session: ConsoleSession,
   page: string,
   {draft, action}: FormSubmission,
-): HttpAnswer {
+): HttpResponse {
   switch (page) {
     case 'edit': {
       const edited =
         action === '' ? draft : applyEdit(draft, parseEdit(action));
-      return pageAnswer(OK, renderPage(createView(session, edited)));
+      return pageResponse(OK, renderPage(createPageView(session, edited)));
     }
     case 'check':
-      return pageAnswer(OK, renderLiveParts(createView(session, draft)));
+      return pageResponse(OK, renderLiveParts(createPageView(session, draft)));
     case 'save':
-      return answerSave(session, draft);
+      return handleSave(session, draft);
     default:
-      return textAnswer(NOT_FOUND, 'No such page.');
+      return textResponse(NOT_FOUND, 'No such page.');
   }
 }
 
-function answerSave(session: ConsoleSession, draft: DraftGroup): HttpAnswer {
+function handleSave(session: ConsoleSession, draft: DraftGroup): HttpResponse {
   const result = session.save(draft);
   if (result.kind === 'refused') {
     const report = {...session.check(draft), problems: result.problems};
-    const view = createView(session, draft, report);
-    return pageAnswer(UNPROCESSABLE, renderPage(view));
+    const view = createPageView(session, draft, report);
+    return pageResponse(UNPROCESSABLE, renderPage(view));
   }
   const {policy, version, digest} = result.compiled;
   const saved = {
@@ -101,14 +101,14 @@
     digest,
     file: session.outputFile,
   };
-  const next = session.startDraft();
-  const view = createView(session, next, session.check(next), saved);
-  return pageAnswer(OK, renderPage(view));
+  const next = session.createInitialDraft();
+  const view = createPageView(session, next, session.check(next), saved);
+  return pageResponse(OK, renderPage(view));
 }
 
-function answerDownload(session: ConsoleSession): HttpAnswer {
+function handleDownload(session: ConsoleSession): HttpResponse {
   const saved = session.saved();
-  if (saved === undefined) return textAnswer(NOT_FOUND, 'Nothing saved yet.');
+  if (saved === undefined) return textResponse(NOT_FOUND, 'Nothing saved yet.');
   // The checks allow only letters, digits and hyphens in the name.
   const fileName = `${saved.policy.deployment}-v${String(saved.version)}.json`;
   return {
@@ -119,7 +119,7 @@
   };
 }
 
-function createView(
+function createPageView(
   session: ConsoleSession,
   draft: DraftGroup,
   report: DraftReport = session.check(draft),
@@ -132,10 +132,10 @@
     problems: toFieldProblems(problems),
     warnings: toFieldProblems(warnings),
     notes,
-    summary: compiled && summarizeChange(compiled, previous),
+    summary: compiled && summarizeDraft(compiled, previous),
     saved,
     isSaved: saved !== undefined,
-    isChanged: !isDeepStrictEqual(draft, session.startDraft()),
+    isChanged: !isDeepStrictEqual(draft, session.createInitialDraft()),
     outputFile: session.outputFile,
   };
 }
--- a/src/cli/console/console_server.ts
+++ b/src/cli/console/console_server.ts
@@ -8,9 +8,9 @@
 import {createPageHandler} from './console_pages.js';
 import type {PageHandler} from './console_pages.js';
 import type {ConsoleSession} from './console_session.js';
-import type {HttpAnswer} from './http_answer.js';
-import {pageAnswer, sendAnswer, textAnswer} from './http_answer.js';
-import {renderFailure} from './page_renderer.js';
+import type {HttpResponse} from './http_response.js';
+import {pageResponse, sendResponse, textResponse} from './http_response.js';
+import {renderErrorPage} from './page_renderer.js';
 import type {GuardOptions} from './request_guard.js';
 import {checkRequest} from './request_guard.js';
 import {
@@ -53,13 +53,13 @@
   server.listen(options.port, LOOPBACK);
   await once(server, 'listening');
   const {port} = server.address() as AddressInfo;
-  server.on('request', (request, response) => {
+  server.on('request', (request, serverResponse) => {
     const guard = {token, port};
-    void answerRequest(request, guard, handle, options.onFailure).then(
-      answer => {
+    void handleRequest(request, guard, handle, options.onFailure).then(
+      response => {
         // What is left of a refused body would be read as the next request.
-        if (!request.complete) response.setHeader('connection', 'close');
-        sendAnswer(response, answer);
+        if (!request.complete) serverResponse.setHeader('connection', 'close');
+        sendResponse(serverResponse, response);
       },
     );
   });
@@ -71,34 +71,34 @@
   return {url, dispose: closing.dispose};
 }
 
-async function answerRequest(
+async function handleRequest(
   request: http.IncomingMessage,
   guard: GuardOptions,
   handle: PageHandler,
   onFailure: (message: string) => void,
-): Promise<HttpAnswer> {
+): Promise<HttpResponse> {
   const result = checkRequest(request, guard);
   if (result.kind === 'refused') {
-    return textAnswer(result.statusCode, result.message);
+    return textResponse(result.statusCode, result.message);
   }
   try {
     return await handle(request, result.page);
   } catch (error) {
-    return answerFailure(error, onFailure);
+    return createFailureResponse(error, onFailure);
   }
 }
 
-function answerFailure(
+function createFailureResponse(
   error: unknown,
   onFailure: (message: string) => void,
-): HttpAnswer {
+): HttpResponse {
   const message = describeError(error);
   if (error instanceof CapacityError) {
-    return pageAnswer(413, renderFailure('The form is too large', message));
+    return pageResponse(413, renderErrorPage('The form is too large', message));
   }
   if (error instanceof InvalidInputError || error instanceof TransportError) {
-    return pageAnswer(400, renderFailure('The form was not read', message));
+    return pageResponse(400, renderErrorPage('The form was not read', message));
   }
   onFailure(message);
-  return pageAnswer(500, renderFailure('The console failed', message));
+  return pageResponse(500, renderErrorPage('The console failed', message));
 }
--- a/src/cli/console/console_session.ts
+++ b/src/cli/console/console_session.ts
@@ -6,7 +6,7 @@
 import type {DraftReport} from './document_builder.js';
 import type {DraftGroup} from './draft.js';
 import {saveDocumentFile} from './document_file.js';
-import {createStartingDraft} from './new_items.js';
+import {createStartingDraft} from './draft_templates.js';
 import type {CompiledPolicy} from '../../version/policy.js';
 import type {Problem} from '../../version/problem.js';
 
@@ -31,7 +31,7 @@
   /** The document saved last, for download. */
   saved(): CompiledPolicy | undefined;
   /** What a page starts with. */
-  startDraft(): DraftGroup;
+  createInitialDraft(): DraftGroup;
   check(draft: DraftGroup): DraftReport;
   /** Saves a draft without problems; from then on it is the previous one. */
   save(draft: DraftGroup): SaveResult;
@@ -49,7 +49,7 @@
     outputFile,
     previous: () => previous,
     saved: () => saved,
-    startDraft: () =>
+    createInitialDraft: () =>
       previous ? createNextDraft(previous.policy) : createStartingDraft(),
     check,
     save: draft => {
--- a/src/cli/console/document_builder.ts
+++ b/src/cli/console/document_builder.ts
@@ -5,7 +5,7 @@
 import type {DraftGroup} from './draft.js';
 import {toDocument, toDraft} from './draft.js';
 import {policyFormModel} from './form_model.js';
-import {checkSuccession} from '../policy_succession.js';
+import {checkPolicyUpdate} from '../policy_update.js';
 import {compilePolicy} from '../../version/compiled_policy.js';
 import {MAX_DOCUMENT_BYTES} from '../../version/json_document.js';
 import type {CompiledPolicy, Policy} from '../../version/policy.js';
@@ -45,14 +45,14 @@
     return {compiled: undefined, problems, warnings: [], notes: []};
   }
   const {compiled} = compilation;
-  const succession = previous
-    ? checkSuccession(previous, compiled.policy)
+  const updateReport = previous
+    ? checkPolicyUpdate(previous, compiled.policy)
     : {problems: [], warnings: []};
   return {
     compiled,
-    problems: succession.problems,
+    problems: updateReport.problems,
     warnings: findPolicyWarnings(compiled.policy),
-    notes: succession.warnings,
+    notes: updateReport.warnings,
   };
 }
 
--- a/src/cli/console/document_file.ts
+++ b/src/cli/console/document_file.ts
@@ -4,7 +4,7 @@
 import {existsSync, renameSync, rmSync, writeFileSync} from 'node:fs';
 import {v4 as createUuid} from 'uuid';
 import {readPolicyFile} from '../policy_file.js';
-import {checkSuccession} from '../policy_succession.js';
+import {checkPolicyUpdate} from '../policy_update.js';
 import {describeError} from '../../base/errors.js';
 import type {CompiledPolicy} from '../../version/policy.js';
 import type {Problem} from '../../version/problem.js';
@@ -15,8 +15,8 @@
   filePath: string,
   compiled: CompiledPolicy,
 ): Problem | undefined {
-  const obstacle = findObstacle(filePath, compiled);
-  if (obstacle !== undefined) return obstacle;
+  const overwriteProblem = findOverwriteProblem(filePath, compiled);
+  if (overwriteProblem !== undefined) return overwriteProblem;
   const temporaryPath = `${filePath}.${createUuid()}.tmp`;
   try {
     // A full disk would otherwise leave half a document under the final name.
@@ -25,30 +25,33 @@
     return undefined;
   } catch (error) {
     rmSync(temporaryPath, {force: true});
-    return fileProblem(describeError(error), `${filePath} as a file to write`);
+    return createFileProblem(
+      describeError(error),
+      `${filePath} as a file to write`,
+    );
   }
 }
 
 /** A mistyped name must not cost another file, nor a newer version. */
-function findObstacle(
+function findOverwriteProblem(
   filePath: string,
   compiled: CompiledPolicy,
 ): Problem | undefined {
   if (!existsSync(filePath)) return undefined;
   const existing = readPolicyFile(filePath);
   if (existing.kind !== 'compiled') {
-    return fileProblem(
+    return createFileProblem(
       `${filePath} exists and is no usable policy document`,
       'a new file, or one with an older version of this policy',
     );
   }
-  const [problem] = checkSuccession(
+  const [problem] = checkPolicyUpdate(
     existing.compiled.policy,
     compiled.policy,
   ).problems;
   return problem;
 }
 
-function fileProblem(value: string, allowed: string): Problem {
+function createFileProblem(value: string, allowed: string): Problem {
   return {path: ROOT_PATH, value, allowed};
 }
--- a/src/cli/console/draft.ts
+++ b/src/cli/console/draft.ts
@@ -16,7 +16,7 @@
 }
 
 /** JSON grammar of a number; anything else stays text for the check to refuse. */
-const NUMBER = /^-?(?:0|[1-9]\d*)(?:\.\d+)?(?:[eE][+-]?\d+)?$/;
+const JSON_NUMBER_PATTERN = /^-?(?:0|[1-9]\d*)(?:\.\d+)?(?:[eE][+-]?\d+)?$/;
 
 /** Turns a value of the document into text for the forms. */
 export function toDraft(model: GroupModel, value: object): DraftGroup {
@@ -86,7 +86,7 @@
 }
 
 function toNumber(text: string): number | string {
-  const value = NUMBER.test(text) ? Number(text) : NaN;
+  const value = JSON_NUMBER_PATTERN.test(text) ? Number(text) : NaN;
   // JSON has no infinity, which would turn into null.
   return Number.isFinite(value) ? value : text;
 }
--- a/src/cli/console/draft_edits.ts
+++ b/src/cli/console/draft_edits.ts
@@ -2,8 +2,8 @@
  * Adding, removing and moving of list items.
  */
 import type {DraftGroup, DraftList, DraftNode} from './draft.js';
-import {malformed} from './form_fields.js';
-import {createNewItem} from './new_items.js';
+import {formError} from './form_fields.js';
+import {createNewItem} from './draft_templates.js';
 
 /** What a button of a list does. */
 export type EditVerb = 'add' | 'remove' | 'up' | 'down';
@@ -15,7 +15,7 @@
   readonly target: string;
 }
 
-const EDIT = /^(?<verb>add|remove|up|down) (?<target>\S+)$/;
+const EDIT_PATTERN = /^(?<verb>add|remove|up|down) (?<target>\S+)$/;
 
 /** Value of the button that asks for an edit. */
 export function formatEdit({verb, target}: DraftEdit): string {
@@ -24,8 +24,8 @@
 
 /** Reads the value of a button. */
 export function parseEdit(action: string): DraftEdit {
-  const groups = EDIT.exec(action)?.groups;
-  if (groups === undefined) throw malformed('the action is unknown');
+  const groups = EDIT_PATTERN.exec(action)?.groups;
+  if (groups === undefined) throw formError('the action is unknown');
   return {verb: groups['verb'] as EditVerb, target: groups['target'] ?? ''};
 }
 
@@ -46,7 +46,7 @@
 
 function editItem(list: DraftList, index: number, verb: EditVerb): DraftList {
   const item = list[index];
-  if (item === undefined) throw malformed('the item to edit is not there');
+  if (item === undefined) throw formError('the item to edit is not there');
   const rest = list.filter((_, position) => position !== index);
   if (verb === 'remove') return rest;
   const shift = verb === 'up' ? -1 : 1;
@@ -57,24 +57,24 @@
 function updateList(
   node: DraftNode | undefined,
   segments: readonly string[],
-  change: (list: DraftList) => DraftList,
+  updateItems: (list: DraftList) => DraftList,
 ): DraftNode {
   const [segment, ...rest] = segments;
   if (segment === undefined) {
-    if (isList(node)) return change(node);
-    throw malformed('the list to edit is not there');
+    if (isList(node)) return updateItems(node);
+    throw formError('the list to edit is not there');
   }
   if (isList(node)) {
     const index = Number(segment);
     return node.with(
       checkIndex(node, index),
-      updateList(node[index], rest, change) as DraftGroup,
+      updateList(node[index], rest, updateItems) as DraftGroup,
     );
   }
   if (typeof node !== 'object' || !Object.hasOwn(node, segment)) {
-    throw malformed('the list to edit is not there');
+    throw formError('the list to edit is not there');
   }
-  return {...node, [segment]: updateList(node[segment], rest, change)};
+  return {...node, [segment]: updateList(node[segment], rest, updateItems)};
 }
 
 function isList(node: DraftNode | undefined): node is DraftList {
@@ -83,5 +83,5 @@
 
 function checkIndex(list: DraftList, index: number): number {
   if (index in list) return index;
-  throw malformed('the list to edit is not there');
+  throw formError('the list to edit is not there');
 }
--- a/src/cli/console/place_names.ts
+++ b/src/cli/console/draft_locations.ts
@@ -2,30 +2,30 @@
  * Places in a draft told by the names that the operator gave.
  */
 import type {DraftNode} from './draft.js';
-import {labelOf, singularOf} from './field_words.js';
+import {labelOf, singularOf} from './field_labels.js';
 
 /** `services.1.routes.4.path` as `Service tileyard, route 5, path`. */
-export function describePlace(
+export function describeLocation(
   draft: DraftNode | undefined,
   formName: string,
 ): string {
   if (formName === '') return 'The document';
-  const words: string[] = [];
+  const parts: string[] = [];
   let node = draft;
   let listName = '';
   for (const segment of formName.split('.')) {
-    node = childOf(node, segment);
+    node = getChild(node, segment);
     if (listName !== '') {
-      words.push(`${singularOf(listName)} ${nameOf(node) || ordinal(segment)}`);
+      parts.push(`${singularOf(listName)} ${nameOf(node) || ordinal(segment)}`);
       listName = '';
     } else if (Array.isArray(node)) {
       listName = segment;
     } else {
-      words.push(labelOf(segment).toLowerCase());
+      parts.push(labelOf(segment).toLowerCase());
     }
   }
-  if (listName !== '') words.push(labelOf(listName).toLowerCase());
-  const text = words.join(', ');
+  if (listName !== '') parts.push(labelOf(listName).toLowerCase());
+  const text = parts.join(', ');
   return text.charAt(0).toUpperCase() + text.slice(1);
 }
 
@@ -35,11 +35,11 @@
 }
 
 function nameOf(node: DraftNode | undefined): string {
-  const name = childOf(node, 'name');
+  const name = getChild(node, 'name');
   return typeof name === 'string' ? name : '';
 }
 
-function childOf(
+function getChild(
   node: DraftNode | undefined,
   segment: string,
 ): DraftNode | undefined {
--- a/src/cli/console/change_summary.ts
+++ b/src/cli/console/draft_summary.ts
@@ -2,7 +2,7 @@
  * What a draft does, as data: importance, shares of upstreams, rules of routes,
  * and each difference from the previous document in words.
  */
-import {labelOf, singularOf, unitOf} from './field_words.js';
+import {labelOf, singularOf, unitOf} from './field_labels.js';
 import type {PolicyChange} from '../policy_changes.js';
 import {findPolicyChanges} from '../policy_changes.js';
 import type {RouteExplanation} from '../route_explanation.js';
@@ -28,26 +28,26 @@
 }
 
 /** One difference as a sentence. */
-export interface ChangeSentence {
+export interface ChangeDescription {
   readonly sentence: string;
   readonly concerns: string;
 }
 
 /** Everything shown about a valid draft. */
-export interface ChangeSummary {
+export interface DraftSummary {
   readonly classes: readonly ClassSummary[];
   readonly services: readonly ServiceSummary[];
   readonly routes: readonly RouteExplanation[];
   /** Undefined for a first document. */
   readonly previousVersion: number | undefined;
-  readonly changes: readonly ChangeSentence[];
+  readonly changes: readonly ChangeDescription[];
 }
 
 /** Collects what a draft does. */
-export function summarizeChange(
+export function summarizeDraft(
   compiled: CompiledPolicy,
   previous: Policy | undefined,
-): ChangeSummary {
+): DraftSummary {
   const {policy} = compiled;
   const changes = previous ? findPolicyChanges(previous, policy) : [];
   return {
@@ -105,28 +105,32 @@
 }
 
 /** Tells a difference as a sentence. */
-export function describeChange(change: PolicyChange): ChangeSentence {
-  return {sentence: `${subjectOf(change)}.`, concerns: change.concerns};
+export function describeChange(change: PolicyChange): ChangeDescription {
+  return {
+    sentence: `${formatChangeSentence(change)}.`,
+    concerns: change.concerns,
+  };
 }
 
-function subjectOf({path, before, after}: PolicyChange): string {
-  const place = readPlace(path);
-  if (place.fieldName === undefined) {
+function formatChangeSentence({path, before, after}: PolicyChange): string {
+  const location = parseChangePath(path);
+  if (location.fieldName === undefined) {
     const verb = before === undefined ? 'is new' : 'is removed';
-    return `${capitalize(place.owner)} ${verb}`;
+    return `${capitalize(location.owner)} ${verb}`;
   }
-  if (place.fieldName === 'rank') {
+  if (location.fieldName === 'rank') {
     const direction = Number(after) < Number(before) ? 'up' : 'down';
-    return `${capitalize(place.owner)} moves ${direction} in importance from place ${String(before)} to place ${String(after)}`;
+    return `${capitalize(location.owner)} moves ${direction} in importance from place ${String(before)} to place ${String(after)}`;
   }
-  const label = labelOf(place.fieldName);
-  const subject = place.owner === '' ? label : `${label} of ${place.owner}`;
-  const unit = unitOf(place.schemaPath);
+  const label = labelOf(location.fieldName);
+  const subject =
+    location.owner === '' ? label : `${label} of ${location.owner}`;
+  const unit = unitOf(location.schemaPath);
   const suffix = unit === '' ? '' : ` ${unit}`;
-  return `${subject}: ${directionOf(before, after)} from ${String(before)} to ${String(after)}${suffix}`;
+  return `${subject}: ${describeDirection(before, after)} from ${String(before)} to ${String(after)}${suffix}`;
 }
 
-interface ChangePlace {
+interface ChangeLocation {
   /** The item or section, for example `route read-tile of service tileyard`. */
   readonly owner: string;
   /** Undefined if the item as a whole is new or gone. */
@@ -134,7 +138,7 @@
   readonly schemaPath: string;
 }
 
-const LIST_NAMES: ReadonlySet<string> = new Set([
+const LIST_SECTIONS: ReadonlySet<string> = new Set([
   'availabilityZones',
   'classes',
   'services',
@@ -142,12 +146,12 @@
 ]);
 
 /** Names have no dots, so that a path of names can be split again. */
-function readPlace(path: string): ChangePlace {
+function parseChangePath(path: string): ChangeLocation {
   const [section = '', name, member, itemName, itemField] = path.split('.');
   if (name === undefined) {
     return {owner: '', fieldName: section, schemaPath: section};
   }
-  if (!LIST_NAMES.has(section)) {
+  if (!LIST_SECTIONS.has(section)) {
     return {
       owner: labelOf(section).toLowerCase(),
       fieldName: name,
@@ -175,7 +179,7 @@
   };
 }
 
-function directionOf(before: unknown, after: unknown): string {
+function describeDirection(before: unknown, after: unknown): string {
   if (typeof before !== 'number' || typeof after !== 'number') {
     return 'changed';
   }
--- a/src/cli/console/new_items.ts
+++ b/src/cli/console/draft_templates.ts
@@ -4,7 +4,7 @@
  */
 import type {DraftGroup} from './draft.js';
 import {toDraft} from './draft.js';
-import {malformed} from './form_fields.js';
+import {formError} from './form_fields.js';
 import type {FormModel, GroupModel} from './form_model.js';
 import {policyFormModel} from './form_model.js';
 import {createStartingPolicy} from '../starting_policy.js';
@@ -23,7 +23,7 @@
 };
 
 /** Words of a route that are wrong for some routes whatever is preset. */
-const CHOSEN_BY_OPERATOR: ReadonlySet<string> = new Set([
+const OPERATOR_CHOSEN_FIELDS: ReadonlySet<string> = new Set([
   'name',
   'path',
   'className',
@@ -42,39 +42,51 @@
   const path = segments.filter(segment => !/^\d+$/.test(segment)).join('.');
   switch (path) {
     case 'availabilityZones':
-      return createBlank(path, TEMPLATE.availabilityZones[0]);
+      return createItemFromTemplate(path, TEMPLATE.availabilityZones[0]);
     case 'classes':
-      return {...createBlank(path, TEMPLATE.classes[0]), reservedRatio: '0'};
+      return {
+        ...createItemFromTemplate(path, TEMPLATE.classes[0]),
+        reservedRatio: '0',
+      };
     case 'services':
-      return createBlank(path, TEMPLATE.services[0]);
+      return createItemFromTemplate(path, TEMPLATE.services[0]);
     case 'organisations':
-      return createBlank(path, EMPTY_ORGANISATION);
+      return createItemFromTemplate(path, EMPTY_ORGANISATION);
     case 'organisations.apiKeys':
-      return createBlank(path, {name: '', digest: ''});
+      return createItemFromTemplate(path, {name: '', digest: ''});
     case 'services.routes':
-      return createBlank(path, TEMPLATE.services[0]?.routes[0]);
+      return createItemFromTemplate(path, TEMPLATE.services[0]?.routes[0]);
     default:
-      throw malformed(`there is no list ${listName}`);
+      throw formError(`there is no list ${listName}`);
   }
 }
 
-function createBlank(path: string, template: object | undefined): DraftGroup {
+function createItemFromTemplate(
+  path: string,
+  template: object | undefined,
+): DraftGroup {
   const model = findItemModel(path);
-  if (template === undefined) throw malformed(`no template for ${path}`);
-  return blankOut(model, toDraft(model, template));
+  if (template === undefined) throw formError(`no template for ${path}`);
+  return clearOperatorChosenFields(model, toDraft(model, template));
 }
 
-function blankOut(model: GroupModel, draft: DraftGroup): DraftGroup {
+function clearOperatorChosenFields(
+  model: GroupModel,
+  draft: DraftGroup,
+): DraftGroup {
   return Object.fromEntries(
     model.members.map(member => {
       const node = draft[member.name] ?? '';
-      if (CHOSEN_BY_OPERATOR.has(member.name)) return [member.name, ''];
+      if (OPERATOR_CHOSEN_FIELDS.has(member.name)) return [member.name, ''];
       // One empty item: a list without any would be invalid.
       if (member.kind !== 'list' || !Array.isArray(node)) {
         return [member.name, node];
       }
       const items = (node as readonly DraftGroup[]).slice(0, 1);
-      return [member.name, items.map(item => blankOut(member.item, item))];
+      return [
+        member.name,
+        items.map(item => clearOperatorChosenFields(member.item, item)),
+      ];
     }),
   );
 }
@@ -85,7 +97,7 @@
     const member: FormModel | undefined = group.members.find(
       ({name}) => name === segment,
     );
-    if (member?.kind !== 'list') throw malformed(`there is no list ${path}`);
+    if (member?.kind !== 'list') throw formError(`there is no list ${path}`);
     group = member.item;
   }
   return group;
--- a/src/cli/console/field_guide_renderer.ts
+++ b/src/cli/console/field_guide_renderer.ts
@@ -1,17 +1,17 @@
 /**
  * A table of what the fields of a list mean, shown once beside all its items.
  */
-import {effectOf, labelOf, unitOf} from './field_words.js';
+import {effectOf, labelOf, unitOf} from './field_labels.js';
 import type {FieldModel, FormModel, ListModel} from './form_model.js';
 import type {Html} from './html.js';
-import {html, renderCodeWords} from './html.js';
+import {html, renderCodeSpans} from './html.js';
 
 /** Draws the guide of a list, and of the lists within it. */
 export function renderGuide(list: ListModel): Html {
   const fields = list.item.members.filter(isField);
   const nested = list.item.members.filter(member => member.kind === 'list');
   return html`<p class="help">
-      ${renderCodeWords(effectOf(list.path))}
+      ${renderCodeSpans(effectOf(list.path))}
       <span class="allowed">Allowed: ${list.allowed}.</span>
     </p>
     <details class="guide">
@@ -44,8 +44,8 @@
       ${labelOf(field.name)}<code class="field-name">${field.name}</code>
     </th>
     <td>${unitOf(field.path) || '\u2013'}</td>
-    <td>${renderCodeWords(field.allowed)}</td>
-    <td>${renderCodeWords(effectOf(field.path))}</td>
+    <td>${renderCodeSpans(field.allowed)}</td>
+    <td>${renderCodeSpans(effectOf(field.path))}</td>
   </tr>`;
 }
 
--- a/src/cli/console/field_input_renderer.ts
+++ b/src/cli/console/field_input_renderer.ts
@@ -1,17 +1,17 @@
 /**
  * The control by which one value is entered.
  */
-import {labelOf} from './field_words.js';
+import {labelOf} from './field_labels.js';
 import type {FieldModel} from './form_model.js';
 import type {Html} from './html.js';
-import {html, NO_HTML} from './html.js';
+import {html, EMPTY_HTML} from './html.js';
 
 /** Id of the list of class names that route fields suggest. */
 export const CLASS_NAMES_ID = 'class-names';
 
 const CLASS_REFERENCE_PATH = 'services[].routes[].className';
 
-const SWITCH_WORDS = ['true', 'false'];
+const SWITCH_OPTIONS = ['true', 'false'];
 
 /** Draws the control with the text typed so far. */
 export function renderInput(
@@ -26,9 +26,9 @@
     case 'number':
       return renderTextInput(field, name, text, isInvalid);
     case 'choice':
-      return renderSelect(field, name, text, isInvalid, input.words);
+      return renderSelect(field, name, text, isInvalid, input.options);
     case 'switch':
-      return renderSelect(field, name, text, isInvalid, SWITCH_WORDS);
+      return renderSelect(field, name, text, isInvalid, SWITCH_OPTIONS);
     case 'fixed':
       return html`<input
         id="${name}"
@@ -50,7 +50,7 @@
   const suggestions =
     field.path === CLASS_REFERENCE_PATH
       ? html`list="${CLASS_NAMES_ID}"`
-      : NO_HTML;
+      : EMPTY_HTML;
   // No `type=number`: browsers send nothing for text they cannot read, and
   // the operator would not see what was refused.
   return html`<input
@@ -61,7 +61,7 @@
     value="${text}"
     aria-label="${labelOf(field.name)}"
     ${suggestions}
-    ${markInvalid(isInvalid)}
+    ${renderInvalidAttribute(isInvalid)}
   />`;
 }
 
@@ -70,16 +70,16 @@
   name: string,
   text: string,
   isInvalid: boolean,
-  words: readonly string[],
+  options: readonly string[],
 ): Html {
   return html`<select
     id="${name}"
     name="${name}"
     aria-label="${labelOf(field.name)}"
-    ${markInvalid(isInvalid)}
+    ${renderInvalidAttribute(isInvalid)}
   >
     ${renderOption('', 'choose', text)}
-    ${words.map(word => renderOption(word, word, text))}
+    ${options.map(word => renderOption(word, word, text))}
   </select>`;
 }
 
@@ -90,6 +90,6 @@
   return html`<option value="${value}" selected>${text}</option>`;
 }
 
-function markInvalid(isInvalid: boolean): Html {
-  return isInvalid ? html`aria-invalid="true"` : NO_HTML;
+function renderInvalidAttribute(isInvalid: boolean): Html {
+  return isInvalid ? html`aria-invalid="true"` : EMPTY_HTML;
 }
--- a/src/cli/console/field_problems.ts
+++ b/src/cli/console/field_problems.ts
@@ -18,9 +18,9 @@
 export type FieldMessages = ReadonlyMap<string, string>;
 
 /** Longest excerpt of a value in a message. */
-const SHOWN_VALUE_CHARS = 60;
+const MAX_SHOWN_VALUE_CHARS = 60;
 
-const NOTHING_FOUND = 'Nothing entered.';
+const EMPTY_FIELD_MESSAGE = 'Nothing entered.';
 
 /** Translates problems of the document into problems of the form. */
 export function toFieldProblems(
@@ -28,7 +28,7 @@
 ): readonly FieldProblem[] {
   return problems.map(({path, value, allowed}) => ({
     name: toFormName(path),
-    found: describeFound(value),
+    found: describeFoundValue(value),
     allowed,
   }));
 }
@@ -43,7 +43,7 @@
   const messages = new Map<string, string>();
   for (const {name, found, allowed} of problems) {
     const message =
-      found === NOTHING_FOUND ? found : `${found} Allowed: ${allowed}.`;
+      found === EMPTY_FIELD_MESSAGE ? found : `${found} Allowed: ${allowed}.`;
     const earlier = messages.get(name);
     messages.set(name, earlier ? `${earlier} ${message}` : message);
   }
@@ -58,9 +58,9 @@
     .replace(/^\./, '');
 }
 
-function describeFound(value: unknown): string {
-  if (value === undefined) return NOTHING_FOUND;
+function describeFoundValue(value: unknown): string {
+  if (value === undefined) return EMPTY_FIELD_MESSAGE;
   const text = JSON.stringify(value);
-  if (text.length <= SHOWN_VALUE_CHARS) return `Found ${text}.`;
-  return `Found ${text.slice(0, SHOWN_VALUE_CHARS)}...`;
+  if (text.length <= MAX_SHOWN_VALUE_CHARS) return `Found ${text}.`;
+  return `Found ${text.slice(0, MAX_SHOWN_VALUE_CHARS)}...`;
 }
--- a/src/cli/console/form_body.ts
+++ b/src/cli/console/form_body.ts
@@ -2,7 +2,7 @@
  * Reading of submitted forms from requests, within bounds.
  */
 import type * as http from 'node:http';
-import {malformed} from './form_fields.js';
+import {formError} from './form_fields.js';
 import {CapacityError, TransportError} from '../../base/errors.js';
 
 /** The largest document as a form takes less than this. */
@@ -16,13 +16,13 @@
 ): Promise<URLSearchParams> {
   const [contentType = ''] = (request.headers['content-type'] ?? '').split(';');
   if (contentType.trim().toLowerCase() !== FORM_TYPE) {
-    throw malformed(`its type is not ${FORM_TYPE}`);
+    throw formError(`its type is not ${FORM_TYPE}`);
   }
-  const text = decodeText(await readBytes(request));
+  const text = decodeText(await readBodyBytes(request));
   return new URLSearchParams(text);
 }
 
-async function readBytes(request: http.IncomingMessage): Promise<Buffer> {
+async function readBodyBytes(request: http.IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let sizeBytes = 0;
   const props = {step: 'read-form', peer: 'browser'};
@@ -47,7 +47,7 @@
   try {
     decodeURIComponent(text.replaceAll('+', ' '));
   } catch {
-    throw malformed('its encoding is broken');
+    throw formError('its encoding is broken');
   }
   return text;
 }
--- a/src/cli/console/form_fields.ts
+++ b/src/cli/console/form_fields.ts
@@ -10,7 +10,7 @@
 export const ACTION_FIELD = 'action';
 
 /** Suffix of the field that tells the length of a list. */
-export const COUNT_NAME = 'count';
+export const COUNT_SUFFIX = 'count';
 
 /** Name of a member or item. */
 export function joinName(parent: string, name: string | number): string {
@@ -33,36 +33,36 @@
   model: GroupModel,
   fields: URLSearchParams,
 ): FormSubmission {
-  const pending = new Map<string, string>();
+  const remaining = new Map<string, string>();
   for (const [name, text] of fields) {
-    if (pending.has(name)) throw malformed(`field ${name} is there twice`);
-    pending.set(name, text);
+    if (remaining.has(name)) throw formError(`field ${name} is there twice`);
+    remaining.set(name, text);
   }
-  const action = pending.get(ACTION_FIELD) ?? '';
-  pending.delete(ACTION_FIELD);
-  const draft = takeGroup(model, '', pending);
-  const [unknownName] = pending.keys();
+  const action = remaining.get(ACTION_FIELD) ?? '';
+  remaining.delete(ACTION_FIELD);
+  const draft = takeGroup(model, '', remaining);
+  const [unknownName] = remaining.keys();
   if (unknownName === undefined) return {draft, action};
-  throw malformed(`field ${unknownName} is unknown`);
+  throw formError(`field ${unknownName} is unknown`);
 }
 
 /** The error for a form that no page of the console sends. */
-export function malformed(reason: string) {
+export function formError(reason: string) {
   const message = `The form is malformed: ${reason}.`;
   return new InvalidInputError(message, {props: {step: 'read-form'}});
 }
 
-type PendingFields = Map<string, string>;
+type RemainingFields = Map<string, string>;
 
 function takeGroup(
   model: GroupModel,
   name: string,
-  pending: PendingFields,
+  remaining: RemainingFields,
 ): DraftGroup {
   return Object.fromEntries(
     model.members.map(member => [
       member.name,
-      takeNode(member, joinName(name, member.name), pending),
+      takeNode(member, joinName(name, member.name), remaining),
     ]),
   );
 }
@@ -70,37 +70,37 @@
 function takeNode(
   model: FormModel,
   name: string,
-  pending: PendingFields,
+  remaining: RemainingFields,
 ): DraftNode {
   switch (model.kind) {
     case 'field':
-      return takeText(name, pending);
+      return takeText(name, remaining);
     case 'group':
-      return takeGroup(model, name, pending);
+      return takeGroup(model, name, remaining);
     case 'list':
-      return takeList(model, name, pending);
+      return takeList(model, name, remaining);
   }
 }
 
 function takeList(
   model: ListModel,
   name: string,
-  pending: PendingFields,
+  remaining: RemainingFields,
 ): readonly DraftGroup[] {
-  const countName = joinName(name, COUNT_NAME);
-  const countText = takeText(countName, pending);
-  if (!/^\d{1,6}$/.test(countText)) throw malformed(`${countName} is no count`);
+  const countName = joinName(name, COUNT_SUFFIX);
+  const countText = takeText(countName, remaining);
+  if (!/^\d{1,6}$/.test(countText)) throw formError(`${countName} is no count`);
   const items: DraftGroup[] = [];
   // Stops at the first item that is missing, however large the count is.
   for (let index = 0; index < Number(countText); index += 1) {
-    items.push(takeGroup(model.item, joinName(name, index), pending));
+    items.push(takeGroup(model.item, joinName(name, index), remaining));
   }
   return items;
 }
 
-function takeText(name: string, pending: PendingFields): string {
-  const text = pending.get(name);
-  if (text === undefined) throw malformed(`field ${name} is missing`);
-  pending.delete(name);
+function takeText(name: string, remaining: RemainingFields): string {
+  const text = remaining.get(name);
+  if (text === undefined) throw formError(`field ${name} is missing`);
+  remaining.delete(name);
   return text;
 }
--- a/src/cli/console/form_model.ts
+++ b/src/cli/console/form_model.ts
@@ -10,7 +10,7 @@
 export type FieldInput =
   | {readonly kind: 'text'}
   | {readonly kind: 'number'}
-  | {readonly kind: 'choice'; readonly words: readonly string[]}
+  | {readonly kind: 'choice'; readonly options: readonly string[]}
   | {readonly kind: 'switch'}
   /** The only value there is. */
   | {readonly kind: 'fixed'; readonly value: number | string};
@@ -85,7 +85,7 @@
   name: string,
   path: string,
 ): GroupModel {
-  if (ast?._tag !== 'Objects') throw unsupported(path, ast?._tag);
+  if (ast?._tag !== 'Objects') throw schemaError(path, ast?._tag);
   const members = ast.propertySignatures.map(member => {
     const memberName = String(member.name);
     const memberPath = path === '' ? memberName : `${path}.${memberName}`;
@@ -107,27 +107,27 @@
     case 'Union':
       return {
         kind: 'choice',
-        words: ast.types.map(type => String(literalOf(type, path))),
+        options: ast.types.map(type => String(literalOf(type, path))),
       };
     default:
-      throw unsupported(path, ast._tag);
+      throw schemaError(path, ast._tag);
   }
 }
 
 function literalOf(ast: SchemaAST.AST, path: string): number | string {
   const value = ast._tag === 'Literal' ? ast.literal : undefined;
   if (typeof value === 'string' || typeof value === 'number') return value;
-  throw unsupported(path, ast._tag);
+  throw schemaError(path, ast._tag);
 }
 
 function allowedOf(ast: SchemaAST.AST, path: string): string {
   const description = ast.annotations?.['description'];
   if (typeof description === 'string') return description;
-  throw unsupported(path, 'undescribed field');
+  throw schemaError(path, 'undescribed field');
 }
 
 /** A schema that grows a new kind of field fails at once instead of losing it. */
-function unsupported(path: string, found = 'nothing') {
+function schemaError(path: string, found = 'nothing') {
   const message = `The forms have no input for ${found} at ${path}.`;
   return new InvalidInputError(message, {props: {step: 'form-model'}});
 }
--- a/src/cli/console/form_renderer.ts
+++ b/src/cli/console/form_renderer.ts
@@ -7,8 +7,8 @@
 import {renderGuide} from './field_guide_renderer.js';
 import {renderInput} from './field_input_renderer.js';
 import type {FieldMessages} from './field_problems.js';
-import {effectOf, labelOf, singularOf, unitOf} from './field_words.js';
-import {ACTION_FIELD, COUNT_NAME, joinName} from './form_fields.js';
+import {effectOf, labelOf, singularOf, unitOf} from './field_labels.js';
+import {ACTION_FIELD, COUNT_SUFFIX, joinName} from './form_fields.js';
 import type {
   FieldModel,
   FormModel,
@@ -16,7 +16,7 @@
   ListModel,
 } from './form_model.js';
 import type {Html} from './html.js';
-import {html, NO_HTML, renderCodeWords} from './html.js';
+import {html, EMPTY_HTML, renderCodeSpans} from './html.js';
 
 /** Draws the whole draft. */
 export function renderForm(
@@ -80,8 +80,8 @@
     <div>
       ${renderEntry(field, name, draft, problems)}
       <p class="help">
-        ${renderCodeWords(effectOf(field.path))}
-        <span class="allowed">Allowed: ${renderCodeWords(field.allowed)}.</span>
+        ${renderCodeSpans(effectOf(field.path))}
+        <span class="allowed">Allowed: ${renderCodeSpans(field.allowed)}.</span>
       </p>
     </div>
   </div>`;
@@ -102,7 +102,7 @@
   const unit = unitOf(field.path);
   return html`<div class="entry">
       ${renderInput(field, name, textOf(draft, field), problems.has(name))}
-      ${unit === '' ? NO_HTML : html`<span class="unit">${unit}</span>`}
+      ${unit === '' ? EMPTY_HTML : html`<span class="unit">${unit}</span>`}
     </div>
     ${renderProblem(name, problems)}`;
 }
@@ -115,10 +115,10 @@
 ): Html {
   const hasLists = model.item.members.some(member => member.kind === 'list');
   const isNested = name.includes('.');
-  return html`${isNested ? NO_HTML : renderGuide(model)}
+  return html`${isNested ? EMPTY_HTML : renderGuide(model)}
     <input
       type="hidden"
-      name="${joinName(name, COUNT_NAME)}"
+      name="${joinName(name, COUNT_SUFFIX)}"
       value="${items.length}"
     />
     ${renderProblem(name, problems)}
@@ -230,7 +230,7 @@
   const unit = unitOf(field.path);
   return html`<th scope="col" title="Allowed: ${field.allowed}">
     ${labelOf(field.name)}
-    ${unit === '' ? NO_HTML : html`<span class="unit">${unit}</span>`}
+    ${unit === '' ? EMPTY_HTML : html`<span class="unit">${unit}</span>`}
   </th>`;
 }
 
@@ -263,10 +263,10 @@
 }
 
 function renderItemButtons(name: string, item: DraftGroup): Html {
-  const shown = String(item['name'] || name);
-  return html`${renderButton('up', name, '\u2191', `Move ${shown} up`)}
-  ${renderButton('down', name, '\u2193', `Move ${shown} down`)}
-  ${renderButton('remove', name, '\u2715', `Remove ${shown}`)}`;
+  const itemTitle = String(item['name'] || name);
+  return html`${renderButton('up', name, '\u2191', `Move ${itemTitle} up`)}
+  ${renderButton('down', name, '\u2193', `Move ${itemTitle} down`)}
+  ${renderButton('remove', name, '\u2715', `Remove ${itemTitle}`)}`;
 }
 
 /** The answer opens at the section, so that the operator keeps the place. */
@@ -281,14 +281,14 @@
     class="edit ${verb}"
     name="${ACTION_FIELD}"
     value="${formatEdit({verb, target})}"
-    formaction="edit#${anchorAfter(verb, target)}"
+    formaction="edit#${anchorAfterEdit(verb, target)}"
     title="${title}"
   >
     ${text}
   </button>`;
 }
 
-function anchorAfter(verb: EditVerb, target: string): string {
+function anchorAfterEdit(verb: EditVerb, target: string): string {
   const segments = target.split('.');
   // The last item of a list is gone from the page once it is removed.
   const kept = verb === 'remove' ? segments.slice(0, -1) : segments;
--- a/src/cli/console/html.ts
+++ b/src/cli/console/html.ts
@@ -40,7 +40,7 @@
 }
 
 /** Nothing. */
-export const NO_HTML: Html = {markup: ''};
+export const EMPTY_HTML: Html = {markup: ''};
 
 function render(part: HtmlPart): string {
   if (typeof part === 'string') return escapeText(part);
@@ -58,7 +58,7 @@
 }
 
 /** Text in which words between back-quotes are shown as code. */
-export function renderCodeWords(text: string): readonly Html[] {
+export function renderCodeSpans(text: string): readonly Html[] {
   return text
     .split('`')
     .map((part, index) =>
--- a/src/cli/console/http_answer.ts
+++ b/src/cli/console/http_response.ts
@@ -5,7 +5,7 @@
 import type {Html} from './html.js';
 
 /** One complete answer. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly statusCode: number;
   readonly contentType: string;
   readonly body: string | Uint8Array;
@@ -42,24 +42,24 @@
 } as const;
 
 /** A page. */
-export function pageAnswer(statusCode: number, page: Html): HttpAnswer {
+export function pageResponse(statusCode: number, page: Html): HttpResponse {
   const contentType = 'text/html; charset=utf-8';
   return {statusCode, contentType, body: page.markup};
 }
 
 /** Text without markup. */
-export function textAnswer(statusCode: number, body: string): HttpAnswer {
+export function textResponse(statusCode: number, body: string): HttpResponse {
   return {statusCode, contentType: 'text/plain; charset=utf-8', body};
 }
 
 /** Sends an answer whole. */
-export function sendAnswer(
-  response: http.ServerResponse,
-  answer: HttpAnswer,
+export function sendResponse(
+  serverResponse: http.ServerResponse,
+  response: HttpResponse,
 ): void {
-  const {statusCode, contentType, fileName} = answer;
-  const body = Buffer.from(answer.body);
-  response.writeHead(statusCode, {
+  const {statusCode, contentType, fileName} = response;
+  const body = Buffer.from(response.body);
+  serverResponse.writeHead(statusCode, {
     ...COMMON_HEADERS,
     'content-type': contentType,
     'content-length': body.byteLength,
@@ -67,5 +67,5 @@
       'content-disposition': `attachment; filename="${fileName}"`,
     }),
   });
-  response.end(body);
+  serverResponse.end(body);
 }
--- a/src/cli/console/live_check_client.ts
+++ b/src/cli/console/live_check_client.ts
@@ -5,23 +5,23 @@
  */
 
 /** The few parts of the browser's interface that are used. */
-interface PageNode {
+interface PageElement {
   readonly id: string;
   readonly dataset: Readonly<Record<string, string | undefined>>;
-  readonly childNodes: Iterable<PageNode>;
+  readonly childNodes: Iterable<PageElement>;
   textContent: string | null;
-  replaceChildren(...nodes: readonly PageNode[]): void;
+  replaceChildren(...nodes: readonly PageElement[]): void;
   setAttribute(name: string, value: string): void;
   addEventListener(type: string, listener: () => void): void;
 }
 
-interface LeaveEvent {
+interface UnloadEvent {
   preventDefault(): void;
 }
 
 interface Page {
-  getElementById(id: string): PageNode | null;
-  querySelectorAll(selector: string): Iterable<PageNode>;
+  getElementById(id: string): PageElement | null;
+  querySelectorAll(selector: string): Iterable<PageElement>;
 }
 
 interface Browser {
@@ -31,43 +31,43 @@
   };
   addEventListener(
     type: 'beforeunload',
-    listener: (event: LeaveEvent) => void,
+    listener: (event: UnloadEvent) => void,
   ): void;
-  readonly FormData: new (form: PageNode) => Iterable<[string, string]>;
+  readonly FormData: new (form: PageElement) => Iterable<[string, string]>;
 }
 
 const browser = globalThis as unknown as Browser;
 const {document: page, DOMParser, FormData} = browser;
 
-const PAUSE_MILLIS = 300;
+const DEBOUNCE_MILLIS = 300;
 
 const form = page.getElementById('policy-form');
 if (form !== null) {
   watchForm(form);
-  warnOfLoss(form);
+  warnBeforeUnload(form);
 }
 
-function watchForm(watched: PageNode): void {
+function watchForm(formElement: PageElement): void {
   let timer: ReturnType<typeof setTimeout> | undefined;
   let running: AbortController | undefined;
-  watched.addEventListener('input', () => {
+  formElement.addEventListener('input', () => {
     clearTimeout(timer);
     timer = setTimeout(() => {
       // An older answer that arrives late would hide the newer one.
       running?.abort();
       running = new AbortController();
-      void checkForm(watched, running.signal);
-    }, PAUSE_MILLIS);
+      void checkForm(formElement, running.signal);
+    }, DEBOUNCE_MILLIS);
   });
 }
 
 /** Drafts live in the page alone; closing it by mistake would lose one. */
-function warnOfLoss(watched: PageNode): void {
-  let isChanged = watched.dataset['changed'] === 'true';
-  watched.addEventListener('input', () => {
+function warnBeforeUnload(formElement: PageElement): void {
+  let isChanged = formElement.dataset['changed'] === 'true';
+  formElement.addEventListener('input', () => {
     isChanged = true;
   });
-  watched.addEventListener('submit', () => {
+  formElement.addEventListener('submit', () => {
     isChanged = false;
   });
   browser.addEventListener('beforeunload', event => {
@@ -76,46 +76,46 @@
 }
 
 async function checkForm(
-  watched: PageNode,
+  formElement: PageElement,
   signal: AbortSignal,
 ): Promise<void> {
   try {
     const response = await fetch('check', {
       method: 'POST',
-      body: new URLSearchParams(new FormData(watched)),
+      body: new URLSearchParams(new FormData(formElement)),
       signal,
     });
     const text = await response.text();
     if (response.ok) {
-      showCheck(new DOMParser().parseFromString(text, 'text/html'));
+      showCheckResult(new DOMParser().parseFromString(text, 'text/html'));
     } else {
-      showState('The check failed: use the button Check.');
+      showStatus('The check failed: use the button Check.');
     }
   } catch {
-    if (!signal.aborted) showState('No answer: is the console still running?');
+    if (!signal.aborted) showStatus('No answer: is the console still running?');
   }
 }
 
-function showCheck(fresh: Page): void {
-  for (const part of fresh.querySelectorAll('[data-live]')) {
+function showCheckResult(checkedPage: Page): void {
+  for (const part of checkedPage.querySelectorAll('[data-live]')) {
     page.getElementById(part.id)?.replaceChildren(...part.childNodes);
   }
   const messages = new Map<string | undefined, string>();
-  for (const item of fresh.querySelectorAll('#field-problems li')) {
+  for (const item of checkedPage.querySelectorAll('#field-problems li')) {
     messages.set(item.dataset['name'], item.textContent ?? '');
   }
-  for (const place of page.querySelectorAll('[data-problem-of]')) {
-    const name = place.dataset['problemOf'] ?? '';
+  for (const messageElement of page.querySelectorAll('[data-problem-of]')) {
+    const name = messageElement.dataset['problemOf'] ?? '';
     const message = messages.get(name) ?? '';
     // Most places stay as they are, and each change costs a layout.
-    if (place.textContent === message) continue;
-    place.textContent = message;
+    if (messageElement.textContent === message) continue;
+    messageElement.textContent = message;
     const input = page.getElementById(name);
     input?.setAttribute('aria-invalid', String(message !== ''));
   }
 }
 
-function showState(text: string): void {
+function showStatus(text: string): void {
   const state = page.getElementById('live-state');
   if (state !== null) state.textContent = text;
 }
--- a/src/cli/console/page_renderer.ts
+++ b/src/cli/console/page_renderer.ts
@@ -2,15 +2,15 @@
  * The pages of the console.
  */
 import type {ChecksView} from './checks_renderer.js';
-import {renderChecks, renderState} from './checks_renderer.js';
+import {renderChecks, renderDraftStatus} from './checks_renderer.js';
 import type {DraftGroup} from './draft.js';
 import {CLASS_NAMES_ID} from './field_input_renderer.js';
 import {groupMessages} from './field_problems.js';
-import {labelOf} from './field_words.js';
+import {labelOf} from './field_labels.js';
 import {policyFormModel} from './form_model.js';
 import {renderForm} from './form_renderer.js';
 import type {Html} from './html.js';
-import {html, NO_HTML} from './html.js';
+import {html, EMPTY_HTML} from './html.js';
 
 /** A document that was just saved. */
 export interface SavedNotice {
@@ -43,7 +43,7 @@
     >
       <header class="bar">
         <h1>${title}</h1>
-        <span id="live-state" data-live>${renderState(view)}</span>
+        <span id="live-state" data-live>${renderDraftStatus(view)}</span>
         <button type="submit" name="action" value="" formaction="edit">
           Check
         </button>
@@ -55,7 +55,7 @@
           }
         </button>
       </header>
-      ${view.saved === undefined ? NO_HTML : renderSaved(view.saved)}
+      ${view.saved === undefined ? EMPTY_HTML : renderSaved(view.saved)}
       ${renderNavigation()}
       <div class="columns">
         <main>
@@ -76,7 +76,7 @@
 export function renderLiveParts(view: PageView): Html {
   return renderDocument(
     'Check',
-    html`<span id="live-state" data-live>${renderState(view)}</span>
+    html`<span id="live-state" data-live>${renderDraftStatus(view)}</span>
       ${renderChecks(view)}
       <ul id="field-problems">
         ${[...groupMessages(view.problems)].map(
@@ -87,7 +87,7 @@
 }
 
 /** A page for a request that cannot be served. */
-export function renderFailure(title: string, message: string): Html {
+export function renderErrorPage(title: string, message: string): Html {
   return renderDocument(
     title,
     html`<div class="failure">
--- a/src/cli/console/request_guard.ts
+++ b/src/cli/console/request_guard.ts
@@ -39,17 +39,17 @@
   }
   const [path = ''] = (request.url ?? '').split('?');
   const [, givenToken = '', ...rest] = path.split('/');
-  if (!isSameText(givenToken, token) || rest.length !== 1) {
+  if (!isEqualInConstantTime(givenToken, token) || rest.length !== 1) {
     return refuse(404, 'No such page. Open the address that was printed.');
   }
-  if (request.method === 'POST' && !isOwnPage(request.headers, hosts)) {
+  if (request.method === 'POST' && !isSameOrigin(request.headers, hosts)) {
     return refuse(403, 'Sent by a page of another origin.');
   }
   return {kind: 'passed', page: rest[0] ?? ''};
 }
 
 /** Browsers tell where a form comes from; other clients send neither header. */
-function isOwnPage(
+function isSameOrigin(
   headers: http.IncomingHttpHeaders,
   hosts: readonly string[],
 ): boolean {
@@ -61,7 +61,7 @@
 }
 
 /** Takes the same time whatever differs, so that a token cannot be searched. */
-function isSameText(a: string, b: string): boolean {
+function isEqualInConstantTime(a: string, b: string): boolean {
   return timingSafeEqual(digest(a), digest(b));
 }
 
--- a/src/cli/console/summary_renderer.ts
+++ b/src/cli/console/summary_renderer.ts
@@ -2,19 +2,19 @@
  * What a draft does, drawn beside its forms.
  */
 import type {
-  ChangeSummary,
+  DraftSummary,
   ClassSummary,
   ServiceSummary,
-} from './change_summary.js';
+} from './draft_summary.js';
 import type {Html} from './html.js';
-import {html, NO_HTML} from './html.js';
+import {html, EMPTY_HTML} from './html.js';
 import type {RouteExplanation} from '../route_explanation.js';
 import {formatExplanation} from '../route_explanation.js';
 
 const INVALID_NOTE = 'Shown once each field is valid.';
 
 /** Each difference from the previous document. */
-export function renderChanges(summary: ChangeSummary | undefined): Html {
+export function renderChanges(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   const {previousVersion, changes} = summary;
   if (previousVersion === undefined) {
@@ -34,7 +34,7 @@
 }
 
 /** The classes in their order, with their reserves. */
-export function renderClasses(summary: ChangeSummary | undefined): Html {
+export function renderClasses(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   return html`<table class="figures">
     <thead>
@@ -57,8 +57,8 @@
       </th>
     </tr>
     <tr>
-      <td>${formatShare(item.reservedRatio)}</td>
-      <td>${formatShare(item.usableRatio)}</td>
+      <td>${formatPercent(item.reservedRatio)}</td>
+      <td>${formatPercent(item.usableRatio)}</td>
       <td>${item.routesCount}</td>
     </tr>
   </tbody>`;
@@ -69,7 +69,7 @@
 }
 
 /** How many slots of an upstream each class may use. */
-export function renderServices(summary: ChangeSummary | undefined): Html {
+export function renderServices(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   return html`<p class="help">
       Slots of one upstream that a class may use at most; numbers are the places
@@ -103,7 +103,7 @@
 }
 
 /** The rules of each route, as `policy explain` tells them. */
-export function renderRoutes(summary: ChangeSummary | undefined): Html {
+export function renderRoutes(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   return html`${summary.routes.map(renderRoute)}`;
 }
@@ -119,7 +119,7 @@
 
 function renderRule(line: string): Html {
   const separatorIndex = line.indexOf(':');
-  if (separatorIndex < 0) return NO_HTML;
+  if (separatorIndex < 0) return EMPTY_HTML;
   return html`<dt>${line.slice(0, separatorIndex)}</dt>
     <dd>${line.slice(separatorIndex + 1).trim()}</dd>`;
 }
@@ -129,6 +129,6 @@
 }
 
 /** Two decimals of a per cent are more than limits of 100,000 need. */
-function formatShare(ratio: number): string {
+function formatPercent(ratio: number): string {
   return `${String(Math.round(ratio * 10_000) / 100)}%`;
 }
--- a/src/cli/log_lines.ts
+++ b/src/cli/log_lines.ts
@@ -10,7 +10,7 @@
 export type LogLine = Readonly<Record<string, unknown>>;
 
 /** Ids of calls are the id of their request, this, and a part of their own. */
-export const ID_SEPARATOR = '.';
+export const REQUEST_ID_SEPARATOR = '.';
 
 /**
  * Reads all lines of files, or of the input if there are none; throws
--- a/src/cli/losses.ts
+++ b/src/cli/losses.ts
@@ -3,7 +3,7 @@
  * when, and for what reason.
  */
 import type {LogLine} from './log_lines.js';
-import {ID_SEPARATOR} from './log_lines.js';
+import {REQUEST_ID_SEPARATOR} from './log_lines.js';
 
 /** Requests that ended alike. */
 export interface LossRow {
@@ -15,7 +15,7 @@
 }
 
 /** What was lost. */
-export interface Losses {
+export interface LossSummary {
   readonly count: number;
   /** Share of the decisions of these kinds that the logs hold lines of. */
   readonly coveredRatio: number;
@@ -28,7 +28,7 @@
 export interface LossCounter {
   add(line: LogLine): void;
   /** Sums up what was gathered by spans of time of this length. */
-  summarize(spanMillis: number): Losses;
+  summarize(spanMillis: number): LossSummary;
 }
 
 interface Loss {
@@ -52,7 +52,7 @@
 ]);
 
 /** Reasons of nodes and upstreams in the words of the summary. */
-const REASON_WORDS: Readonly<Record<string, string>> = {
+const REASON_LABELS: Readonly<Record<string, string>> = {
   'not-executed': 'rejected by upstreams of',
   'queue-full': 'no slot in time at',
   'too-late': 'no slot in time at',
@@ -74,42 +74,45 @@
   let linesCount = 0;
   let suppressedCount = 0;
 
-  const noteCall = (call: Loss): void => {
-    const [rootId = ''] = call.requestId.split(ID_SEPARATOR, 1);
-    const known = failedCalls.get(rootId);
-    if (known === undefined || depthOf(call) > depthOf(known)) {
+  const recordFailedCall = (call: Loss): void => {
+    const [rootId = ''] = call.requestId.split(REQUEST_ID_SEPARATOR, 1);
+    const deepestCall = failedCalls.get(rootId);
+    if (
+      deepestCall === undefined ||
+      callDepthOf(call) > callDepthOf(deepestCall)
+    ) {
       failedCalls.set(rootId, call);
     }
   };
 
-  const reasonOf = (loss: Loss): string => {
+  const describeReason = (loss: Loss): string => {
     const call = failedCalls.get(loss.requestId);
     if (loss.line['hasFailedCall'] === true && call !== undefined) {
-      return `call below: ${ownReasonOf(call)}`;
+      return `call below: ${describeOwnReason(call)}`;
     }
-    return ownReasonOf(loss);
+    return describeOwnReason(loss);
   };
 
   return {
     add: line => {
-      const loss = readLoss(line);
+      const loss = parseLoss(line);
       if (loss === undefined) return;
       linesCount += 1;
       suppressedCount += loss.count - 1;
-      if (loss.requestId.includes(ID_SEPARATOR)) noteCall(loss);
+      if (loss.requestId.includes(REQUEST_ID_SEPARATOR)) recordFailedCall(loss);
       else losses.push(loss);
     },
     summarize: spanMillis => ({
       count: losses.reduce((sum, {count}) => sum + count, 0),
       coveredRatio:
         linesCount === 0 ? 1 : linesCount / (linesCount + suppressedCount),
-      byReason: sumBy(losses, reasonOf, byCount),
-      byRoute: sumBy(
+      byReason: aggregateBy(losses, describeReason, byCount),
+      byRoute: aggregateBy(
         losses,
-        loss => `${loss.route}: ${reasonOf(loss)}`,
+        loss => `${loss.route}: ${describeReason(loss)}`,
         byCount,
       ),
-      bySpan: sumBy(
+      bySpan: aggregateBy(
         losses,
         ({timeMillis}) =>
           new Date(
@@ -121,7 +124,7 @@
   };
 }
 
-function readLoss(line: LogLine): Loss | undefined {
+function parseLoss(line: LogLine): Loss | undefined {
   const {event, requestId, route, time, millis, suppressedCount} = line;
   if (typeof event !== 'string' || !LOSS_EVENTS.has(event)) return undefined;
   if (typeof requestId !== 'string') return undefined;
@@ -138,11 +141,11 @@
   };
 }
 
-function depthOf({requestId}: Loss): number {
-  return requestId.split(ID_SEPARATOR).length;
+function callDepthOf({requestId}: Loss): number {
+  return requestId.split(REQUEST_ID_SEPARATOR).length;
 }
 
-function ownReasonOf({event, line}: Loss): string {
+function describeOwnReason({event, line}: Loss): string {
   const service = String(line['service'] ?? line['shedBy'] ?? '');
   if (event === 'shed') {
     return `turned away for ${String(line['shedBy'])}, ${String(line['reason'])}`;
@@ -152,18 +155,18 @@
     return `status ${String(line['statusCode'])} of ${service}`;
   }
   const reason = String(line['reason']);
-  return `${REASON_WORDS[reason] ?? `${reason} at`} ${service}`.trim();
+  return `${REASON_LABELS[reason] ?? `${reason} at`} ${service}`.trim();
 }
 
-type RowOrder = (a: LossRow, b: LossRow) => number;
+type RowComparator = (a: LossRow, b: LossRow) => number;
 
-const byCount: RowOrder = (a, b) => b.count - a.count;
-const byName: RowOrder = (a, b) => (a.name < b.name ? -1 : 1);
+const byCount: RowComparator = (a, b) => b.count - a.count;
+const byName: RowComparator = (a, b) => (a.name < b.name ? -1 : 1);
 
-function sumBy(
+function aggregateBy(
   losses: readonly Loss[],
   nameOf: (loss: Loss) => string,
-  order: RowOrder,
+  compareRows: RowComparator,
 ): readonly LossRow[] {
   const rows = new Map<string, LossRow>();
   for (const loss of losses) {
@@ -175,5 +178,5 @@
       heldMillis: (row?.heldMillis ?? 0) + loss.heldMillis,
     });
   }
-  return [...rows.values()].sort(order);
+  return [...rows.values()].sort(compareRows);
 }
--- a/src/cli/losses_command.ts
+++ b/src/cli/losses_command.ts
@@ -7,7 +7,7 @@
 import type {CommandOutput, ExitCode} from './command_output.js';
 import {EXIT, processOutput, writeJson} from './command_output.js';
 import {parseLogLine, readLogLines} from './log_lines.js';
-import type {Losses, LossRow} from './losses.js';
+import type {LossSummary, LossRow} from './losses.js';
 import {createLossCounter} from './losses.js';
 
 /** Arguments of the command. */
@@ -18,7 +18,7 @@
 }
 
 /** Rows of each table: more are of the ones that cost little. */
-const SHOWN_ROWS_COUNT = 12;
+const MAX_SHOWN_ROWS_COUNT = 12;
 
 const DEFAULT_SPAN_SECONDS = 2;
 const MILLIS_PER_SECOND = 1000;
@@ -76,13 +76,13 @@
   return EXIT.ok;
 }
 
-function writeTables(output: CommandOutput, losses: Losses): void {
+function writeTables(output: CommandOutput, losses: LossSummary): void {
   const covered = (losses.coveredRatio * 100).toFixed(1);
   output.writeLine(
     `${String(losses.count)} attempts of clients not served; lines of ${covered}% of these decisions`,
   );
-  writeTable(output, 'reason', losses.byReason.slice(0, SHOWN_ROWS_COUNT));
-  writeTable(output, 'route', losses.byRoute.slice(0, SHOWN_ROWS_COUNT));
+  writeTable(output, 'reason', losses.byReason.slice(0, MAX_SHOWN_ROWS_COUNT));
+  writeTable(output, 'route', losses.byRoute.slice(0, MAX_SHOWN_ROWS_COUNT));
   writeTable(output, 'from', losses.bySpan);
 }
 
--- a/src/cli/policy_changes.ts
+++ b/src/cli/policy_changes.ts
@@ -60,8 +60,8 @@
       compareFields,
     ),
     ...compareItems(
-      rankClasses(before),
-      rankClasses(after),
+      addClassRanks(before),
+      addClassRanks(after),
       ({name}) => ({
         path: `classes.${name}`,
         concerns: `requests of class ${name} and of those below it`,
@@ -108,7 +108,7 @@
 }
 
 /** Adds the position, which decides over importance, as a field. */
-function rankClasses(policy: Policy) {
+function addClassRanks(policy: Policy) {
   return policy.classes.map((requestClass, index) => ({
     ...requestClass,
     rank: index + 1,
@@ -163,15 +163,15 @@
   scopeOf: (item: T) => Scope,
   compare: (scope: Scope, before: T, after: T) => readonly PolicyChange[],
 ): readonly PolicyChange[] {
-  const gone = before
+  const removed = before
     .filter(item => !after.some(({name}) => name === item.name))
     .map(item => ({...scopeOf(item), before: item, after: undefined}));
-  const rest = after.flatMap(item => {
+  const keptOrAdded = after.flatMap(item => {
     const match = before.find(({name}) => name === item.name);
     if (match !== undefined) return compare(scopeOf(item), match, item);
     return [{...scopeOf(item), before: undefined, after: item}];
   });
-  return [...gone, ...rest];
+  return [...removed, ...keptOrAdded];
 }
 
 function compareFields(
--- a/src/cli/policy_check_command.ts
+++ b/src/cli/policy_check_command.ts
@@ -4,8 +4,8 @@
 import type {CommandModule} from 'yargs';
 import type {CommandOutput, ExitCode} from './command_output.js';
 import {EXIT, processOutput} from './command_output.js';
-import {readPolicyFile, readUsablePolicy} from './policy_file.js';
-import {checkSuccession} from './policy_succession.js';
+import {readPolicyFile, readValidPolicy} from './policy_file.js';
+import {checkPolicyUpdate} from './policy_update.js';
 import type {CompiledPolicy} from '../version/policy.js';
 import {findPolicyWarnings} from '../version/policy_warnings.js';
 import {formatProblem} from '../version/problem.js';
@@ -51,7 +51,7 @@
   const previous =
     args.previous === undefined
       ? undefined
-      : readUsablePolicy(args.previous, output);
+      : readValidPolicy(args.previous, output);
   const codes = args.files.map(filePath =>
     checkFile(
       filePath,
@@ -79,30 +79,30 @@
       }
       return EXIT.invalid;
     case 'compiled':
-      return reportCompiled(filePath, file.compiled, previous, output);
+      return reportCompiledPolicy(filePath, file.compiled, previous, output);
   }
 }
 
-function reportCompiled(
+function reportCompiledPolicy(
   filePath: string,
   compiled: CompiledPolicy,
   previous: CompiledPolicy | undefined,
   output: CommandOutput,
 ): ExitCode {
-  const succession = previous
-    ? checkSuccession(previous.policy, compiled.policy)
+  const updateReport = previous
+    ? checkPolicyUpdate(previous.policy, compiled.policy)
     : {problems: [], warnings: []};
   const warnings = [
     ...findPolicyWarnings(compiled.policy).map(formatProblem),
-    ...succession.warnings,
+    ...updateReport.warnings,
   ];
-  for (const problem of succession.problems) {
+  for (const problem of updateReport.problems) {
     output.writeLine(`${filePath}: error: ${formatProblem(problem)}`);
   }
   for (const warning of warnings) {
     output.writeLine(`${filePath}: warning: ${warning}`);
   }
-  if (succession.problems.length > 0) return EXIT.invalid;
+  if (updateReport.problems.length > 0) return EXIT.invalid;
   output.writeLine(
     `${filePath}: ok: ${compiled.policy.deployment} version ${String(compiled.version)}, SHA-256 ${compiled.digest}`,
   );
--- a/src/cli/policy_diff_command.ts
+++ b/src/cli/policy_diff_command.ts
@@ -5,8 +5,8 @@
 import type {CommandOutput, ExitCode} from './command_output.js';
 import {EXIT, processOutput, writeJson} from './command_output.js';
 import {findPolicyChanges, formatChange} from './policy_changes.js';
-import {readUsablePolicy} from './policy_file.js';
-import {checkSuccession} from './policy_succession.js';
+import {readValidPolicy} from './policy_file.js';
+import {checkPolicyUpdate} from './policy_update.js';
 
 /** Arguments of the command. */
 export interface PolicyDiffArguments {
@@ -46,12 +46,12 @@
   args: PolicyDiffArguments,
   output: CommandOutput,
 ): ExitCode {
-  const before = readUsablePolicy(args.old, output);
-  const after = readUsablePolicy(args.new, output);
+  const before = readValidPolicy(args.old, output);
+  const after = readValidPolicy(args.new, output);
   if (typeof before === 'number') return before;
   if (typeof after === 'number') return after;
   const changes = findPolicyChanges(before.policy, after.policy);
-  const {warnings} = checkSuccession(before.policy, after.policy);
+  const {warnings} = checkPolicyUpdate(before.policy, after.policy);
   if (args.json) {
     writeJson(output, {changes, warnings});
     return EXIT.ok;
--- a/src/cli/policy_digest_key_command.ts
+++ b/src/cli/policy_digest_key_command.ts
@@ -12,20 +12,20 @@
 /** What a client can send as a bearer token (RFC 6750, 2.1). */
 const KEY_PATTERN = /^[A-Za-z0-9\-._~+/]{16,1024}=*$/;
 
-const STANDARD_INPUT = 0;
+const STDIN_FILE_DESCRIPTOR = 0;
 
 /** The command for yargs. */
 export const policyDigestKeyCommand: CommandModule = {
   command: 'digest-key',
   describe: 'read an API key from standard input and print its digest',
   handler: () => {
-    const text = readFileSync(STANDARD_INPUT, 'utf8');
-    process.exitCode = digestKey(text, processOutput);
+    const text = readFileSync(STDIN_FILE_DESCRIPTOR, 'utf8');
+    process.exitCode = printKeyDigest(text, processOutput);
   },
 };
 
 /** Prints the digest; a text that no client can send as a key is an error. */
-export function digestKey(text: string, output: CommandOutput): ExitCode {
+export function printKeyDigest(text: string, output: CommandOutput): ExitCode {
   const key = text.replace(/\r?\n$/, '');
   if (!KEY_PATTERN.test(key)) {
     output.writeErrorLine(
--- a/src/cli/policy_explain_command.ts
+++ b/src/cli/policy_explain_command.ts
@@ -4,7 +4,7 @@
 import type {CommandModule} from 'yargs';
 import type {CommandOutput, ExitCode} from './command_output.js';
 import {EXIT, processOutput, writeJson} from './command_output.js';
-import {readUsablePolicy} from './policy_file.js';
+import {readValidPolicy} from './policy_file.js';
 import {explainRoute, formatExplanation} from './route_explanation.js';
 import type {CompiledPolicy} from '../version/policy.js';
 
@@ -65,13 +65,15 @@
   args: PolicyExplainArguments,
   output: CommandOutput,
 ): ExitCode {
-  const compiled = readUsablePolicy(args.file, output);
+  const compiled = readValidPolicy(args.file, output);
   if (typeof compiled === 'number') return compiled;
   const method = args.method.toUpperCase();
   const [path = ''] = args.path.split('?');
   const match = compiled.findRoute(args.service, method, path);
   if (match === undefined) {
-    output.writeErrorLine(describeMiss(compiled, args.service, method, path));
+    output.writeErrorLine(
+      describeMissingRoute(compiled, args.service, method, path),
+    );
     return EXIT.invalid;
   }
   const rules = explainRoute(compiled, match);
@@ -80,7 +82,7 @@
   return EXIT.ok;
 }
 
-function describeMiss(
+function describeMissingRoute(
   compiled: CompiledPolicy,
   serviceName: string,
   method: string,
--- a/src/cli/policy_file.ts
+++ b/src/cli/policy_file.ts
@@ -12,22 +12,22 @@
 import {formatProblem} from '../version/problem.js';
 
 /** What a file turned out to hold. */
-export type PolicyFile =
+export type PolicyFileResult =
   | {readonly kind: 'compiled'; readonly compiled: CompiledPolicy}
   | {readonly kind: 'invalid'; readonly problems: readonly Problem[]}
   | {readonly kind: 'unreadable'; readonly message: string};
 
 /** Reads and compiles one file. */
-export function readPolicyFile(filePath: string): PolicyFile {
+export function readPolicyFile(filePath: string): PolicyFileResult {
   try {
-    return compilePolicy(readBounded(filePath));
+    return compilePolicy(readFileBounded(filePath));
   } catch (error) {
     return {kind: 'unreadable', message: describeError(error)};
   }
 }
 
 /** Reads a file that must be usable; prints why it is not. */
-export function readUsablePolicy(
+export function readValidPolicy(
   filePath: string,
   output: CommandOutput,
 ): CompiledPolicy | ExitCode {
@@ -47,7 +47,7 @@
 }
 
 /** Reads one byte more than is allowed, so that a file too large is noticed. */
-function readBounded(filePath: string): Uint8Array {
+function readFileBounded(filePath: string): Uint8Array {
   const buffer = Buffer.alloc(MAX_DOCUMENT_BYTES + 1);
   const descriptor = openSync(filePath, 'r');
   try {
--- a/src/cli/policy_succession.ts
+++ b/src/cli/policy_update.ts
@@ -5,23 +5,23 @@
 import type {Problem} from '../version/problem.js';
 
 /** What keeps a document from following another, and what to know if it does. */
-export interface SuccessionReport {
+export interface PolicyUpdateReport {
   readonly problems: readonly Problem[];
   readonly warnings: readonly string[];
 }
 
 /** Compares a document with its predecessor. */
-export function checkSuccession(
+export function checkPolicyUpdate(
   previous: Policy,
   next: Policy,
-): SuccessionReport {
+): PolicyUpdateReport {
   return {
-    problems: findSuccessionProblems(previous, next),
-    warnings: warnOfZones(previous, next),
+    problems: findPolicyUpdateProblems(previous, next),
+    warnings: findZoneWarnings(previous, next),
   };
 }
 
-function findSuccessionProblems(
+function findPolicyUpdateProblems(
   previous: Policy,
   next: Policy,
 ): readonly Problem[] {
@@ -44,7 +44,7 @@
 }
 
 /** Hosts of a zone that is not in the document count as far away. */
-function warnOfZones(previous: Policy, next: Policy): readonly string[] {
+function findZoneWarnings(previous: Policy, next: Policy): readonly string[] {
   const change = describeSetChange(zoneNames(previous), zoneNames(next));
   if (change === undefined) return [];
   return [`availability zones ${change}: hosts must be listed in the new ones`];
--- a/src/cli/route_explanation.ts
+++ b/src/cli/route_explanation.ts
@@ -32,7 +32,7 @@
   readonly reservedRatio: number;
 }
 
-const REPEAT_WORDS: Readonly<Record<PolicyRepeatRule, string>> = {
+const REPEAT_RULE_DESCRIPTIONS: Readonly<Record<PolicyRepeatRule, string>> = {
   safe: 'may be sent again, even on behalf of a request that may not',
   idempotent: 'may be sent again, unless on behalf of a request that may not',
   never:
@@ -40,7 +40,7 @@
 };
 
 /** Keeps sums such as 0.1 + 0.2 from costing a slot. */
-const ROUNDING_RATIO = 1e-9;
+const ROUNDING_TOLERANCE_RATIO = 1e-9;
 
 /** Collects the rules for a route. */
 export function explainRoute(
@@ -51,7 +51,8 @@
   const reservedAbove = classes
     .slice(0, classIndex)
     .reduce((sum, {reservedRatio}) => sum + reservedRatio, 0);
-  const usableSlots = service.slotsCount * (1 - reservedAbove + ROUNDING_RATIO);
+  const usableSlots =
+    service.slotsCount * (1 - reservedAbove + ROUNDING_TOLERANCE_RATIO);
   return {
     policyVersion: compiled.version,
     service: service.name,
@@ -78,7 +79,7 @@
   return [
     `${rules.method} ${rules.path} of ${rules.service} is route ${rules.route} (policy version ${String(rules.policyVersion)})`,
     `class:    ${describeClass(rules)}`,
-    `repeat:   ${rules.repeat}: ${REPEAT_WORDS[rules.repeat]}`,
+    `repeat:   ${rules.repeat}: ${REPEAT_RULE_DESCRIPTIONS[rules.repeat]}`,
     `retries:  ${describeRetries(rules)}`,
     `deadline: ${String(rules.deadlineMillis)} ms after entry, or the caller's own timeout if that is shorter`,
     `queue:    at most ${String(rules.queueCount)} calls wait at one upstream, none longer than ${String(rules.queueWaitMillis)} ms`,
@@ -87,9 +88,9 @@
 }
 
 function describeClass(rules: RouteExplanation): string {
-  const place = `${rules.className}, ${String(rules.classRank)} of ${String(rules.classesCount)} (1 is most important)`;
-  if (rules.lessImportantClasses.length === 0) return `${place}; shed first`;
-  return `${place}; shed only after ${rules.lessImportantClasses.join(', ')}`;
+  const rank = `${rules.className}, ${String(rules.classRank)} of ${String(rules.classesCount)} (1 is most important)`;
+  if (rules.lessImportantClasses.length === 0) return `${rank}; shed first`;
+  return `${rank}; shed only after ${rules.lessImportantClasses.join(', ')}`;
 }
 
 function describeRetries(rules: RouteExplanation): string {
--- a/src/cli/state_command.ts
+++ b/src/cli/state_command.ts
@@ -6,7 +6,7 @@
 import {BaseError, describeError} from '../base/errors.js';
 import type {AdminAddress} from './admin_client.js';
 import {fetchAdminJson, parseAdminAddress} from './admin_client.js';
-import {formatStateTable, stateRows} from './state_table.js';
+import {formatStateTable, toStateRows} from './state_table.js';
 
 /** Arguments of the command. */
 export interface StateArguments {
@@ -36,7 +36,7 @@
     };
 
 const EXIT_UNREACHABLE = 1;
-const HOSTS_AT_ONCE_COUNT = 16;
+const MAX_CONCURRENT_HOSTS_COUNT = 16;
 
 /** The command for yargs. */
 export const stateCommand: CommandModule<object, StateArguments> = {
@@ -89,10 +89,14 @@
   section: string | undefined,
 ): Promise<readonly HostState[]> {
   const states: HostState[] = [];
-  for (let start = 0; start < hosts.length; start += HOSTS_AT_ONCE_COUNT) {
-    const group = hosts.slice(start, start + HOSTS_AT_ONCE_COUNT);
-    const read = group.map(host => readState(host, section));
-    states.push(...(await Promise.all(read)));
+  for (
+    let start = 0;
+    start < hosts.length;
+    start += MAX_CONCURRENT_HOSTS_COUNT
+  ) {
+    const batch = hosts.slice(start, start + MAX_CONCURRENT_HOSTS_COUNT);
+    const reads = batch.map(host => readState(host, section));
+    states.push(...(await Promise.all(reads)));
   }
   return states;
 }
@@ -118,7 +122,7 @@
 
 function formatTable(states: readonly HostState[]): string {
   const rows = states.flatMap(state =>
-    state.kind === 'read' ? stateRows(state.host, state.sections) : [],
+    state.kind === 'read' ? toStateRows(state.host, state.sections) : [],
   );
   return formatStateTable(rows);
 }
--- a/src/cli/state_table.ts
+++ b/src/cli/state_table.ts
@@ -14,15 +14,15 @@
 const COLUMN_GAP = '  ';
 
 /** Items of one list that are shown; the rest is only counted. */
-const LIST_ITEMS_SHOWN_COUNT = 20;
+const MAX_SHOWN_ITEMS_COUNT = 20;
 
 /** Rows of one host's sections. */
-export function stateRows(
+export function toStateRows(
   host: string,
   sections: Readonly<Record<string, unknown>>,
 ): readonly StateRow[] {
   return Object.entries(sections).flatMap(([section, content]) =>
-    flatten(content, '').map(({field, value}) => ({
+    flattenValue(content, '').map(({field, value}) => ({
       host,
       section,
       field,
@@ -57,7 +57,7 @@
   readonly value: string;
 }
 
-function flatten(content: unknown, field: string): readonly FlatField[] {
+function flattenValue(content: unknown, field: string): readonly FlatField[] {
   if (Array.isArray(content)) return flattenList(content, field);
   if (typeof content !== 'object' || content === null) {
     return [{field, value: formatScalar(content)}];
@@ -65,7 +65,7 @@
   const entries = Object.entries(content);
   if (entries.length === 0) return [{field, value: '(none)'}];
   return entries.flatMap(([name, value]) =>
-    flatten(value, field === '' ? name : `${field}.${name}`),
+    flattenValue(value, field === '' ? name : `${field}.${name}`),
   );
 }
 
@@ -74,9 +74,9 @@
   field: string,
 ): readonly FlatField[] {
   if (items.length === 0) return [{field, value: '(none)'}];
-  const shown = items.slice(0, LIST_ITEMS_SHOWN_COUNT);
+  const shown = items.slice(0, MAX_SHOWN_ITEMS_COUNT);
   const fields = shown.flatMap((item, index) =>
-    flatten(item, `${field}[${String(index)}]`),
+    flattenValue(item, `${field}[${String(index)}]`),
   );
   const hiddenCount = items.length - shown.length;
   if (hiddenCount === 0) return fields;
--- a/src/cli/trace_command.ts
+++ b/src/cli/trace_command.ts
@@ -4,7 +4,7 @@
 import type {Readable} from 'node:stream';
 import type {CommandModule} from 'yargs';
 import {describeError} from '../base/errors.js';
-import {ID_SEPARATOR, parseLogLine, readLogLines} from './log_lines.js';
+import {REQUEST_ID_SEPARATOR, parseLogLine, readLogLines} from './log_lines.js';
 
 /** Arguments of the command. */
 export interface TraceArguments {
@@ -69,7 +69,7 @@
 ): Promise<number> {
   let lines: readonly TracedLine[];
   try {
-    lines = await findLines(args, input);
+    lines = await findTracedLines(args, input);
   } catch (error) {
     writeLine(describeError(error));
     return EXIT_UNREADABLE;
@@ -84,24 +84,30 @@
   return EXIT_NOTHING_FOUND;
 }
 
-async function findLines(
+async function findTracedLines(
   args: TraceArguments,
   input: Readable,
 ): Promise<readonly TracedLine[]> {
   const found: TracedLine[] = [];
   for await (const text of readLogLines(args.files, input)) {
-    const traced = traceLine(text, args.id);
+    const traced = parseTracedLine(text, args.id);
     if (traced !== undefined) found.push(traced);
   }
   return found.sort((a, b) => (a.time < b.time ? -1 : 1));
 }
 
 /** The line if it concerns the request or a call made for it. */
-export function traceLine(text: string, id: string): TracedLine | undefined {
+export function parseTracedLine(
+  text: string,
+  id: string,
+): TracedLine | undefined {
   if (!text.includes(id)) return undefined;
   const line = parseLogLine(text);
   if (line === undefined) return undefined;
-  if (!concerns(line['requestId'], id) && !concerns(line['rootId'], id)) {
+  if (
+    !isRequestOrCallId(line['requestId'], id) &&
+    !isRequestOrCallId(line['rootId'], id)
+  ) {
     return undefined;
   }
   return {
@@ -115,7 +121,7 @@
   };
 }
 
-function concerns(value: unknown, id: string): boolean {
+function isRequestOrCallId(value: unknown, id: string): boolean {
   if (typeof value !== 'string') return false;
-  return value === id || value.startsWith(`${id}${ID_SEPARATOR}`);
+  return value === id || value.startsWith(`${id}${REQUEST_ID_SEPARATOR}`);
 }
--- a/test/contract/operator_console.test.ts
+++ b/test/contract/operator_console.test.ts
@@ -13,13 +13,13 @@
 import {compileOrThrow, createPolicyBytes} from '../fakes/policy_documents.js';
 import {createFileWriter} from '../fakes/temporary_files.js';
 
-interface Answer {
+interface PageResponse {
   readonly statusCode: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
 }
 
-interface Call {
+interface PageRequest {
   readonly page?: string;
   readonly token?: string;
   readonly method?: string;
@@ -33,11 +33,11 @@
 async function startConsole(t: ExecutionContext, fileContent?: string) {
   const writeFile = createFileWriter(t);
   const outputFile = writeFile('existing.json', fileContent ?? '') + '.out';
-  const takenFile = outputFile.slice(0, -'.out'.length);
+  const existingFile = outputFile.slice(0, -'.out'.length);
   const previous = compileOrThrow(createPolicyBytes(PREVIOUS_VERSION));
   const session = createConsoleSession({
     previous,
-    outputFile: fileContent === undefined ? outputFile : takenFile,
+    outputFile: fileContent === undefined ? outputFile : existingFile,
   });
   const server = await createConsoleServer({
     session,
@@ -46,20 +46,21 @@
   });
   t.teardown(() => server.dispose());
   const url = new URL(server.url);
-  const send = (call: Call) => sendCall(url, call);
+  const send = (params: PageRequest) => sendRequest(url, params);
   const {body} = await send({});
-  return {url, send, outputFile, takenFile, fields: readFields(body)};
+  return {url, send, outputFile, existingFile, fields: readFields(body)};
 }
 
-function sendCall(url: URL, call: Call): Promise<Answer> {
-  const token = call.token ?? url.pathname.split('/')[1] ?? '';
+function sendRequest(url: URL, params: PageRequest): Promise<PageResponse> {
+  const token = params.token ?? url.pathname.split('/')[1] ?? '';
   return new Promise((resolve, reject) => {
     const request = http.request({
       host: url.hostname,
       port: url.port,
-      path: `/${token}/${call.page ?? ''}`,
-      method: call.method ?? (call.body === undefined ? 'GET' : 'POST'),
-      headers: call.headers ?? (call.body === undefined ? {} : FORM_HEADERS),
+      path: `/${token}/${params.page ?? ''}`,
+      method: params.method ?? (params.body === undefined ? 'GET' : 'POST'),
+      headers:
+        params.headers ?? (params.body === undefined ? {} : FORM_HEADERS),
       agent: false,
     });
     request.on('error', reject);
@@ -74,7 +75,7 @@
         }),
       );
     });
-    request.end(call.body);
+    request.end(params.body);
   });
 }
 
@@ -82,11 +83,11 @@
   readonly name: string;
   readonly statusCode: number;
   /** Makes a save that fails from one that would succeed. */
-  readonly change: (fields: URLSearchParams, port: string) => Call;
+  readonly change: (fields: URLSearchParams, port: string) => PageRequest;
 }
 
 /** A save with one deviation in its fields. */
-function changedForm(
+function withFields(
   change: (fields: URLSearchParams) => void,
 ): Fault['change'] {
   return fields => {
@@ -179,51 +180,51 @@
   {
     name: 'an unknown field',
     statusCode: 400,
-    change: changedForm(fields => fields.append('timing.drainSeconds', '1')),
+    change: withFields(fields => fields.append('timing.drainSeconds', '1')),
   },
   {
     name: 'a field that names the prototype',
     statusCode: 400,
-    change: changedForm(fields => fields.append('__proto__.version', '1')),
+    change: withFields(fields => fields.append('__proto__.version', '1')),
   },
   {
     name: 'a field that is there twice',
     statusCode: 400,
-    change: changedForm(fields => fields.append('version', '7')),
+    change: withFields(fields => fields.append('version', '7')),
   },
   {
     name: 'fewer items than are counted',
     statusCode: 400,
-    change: changedForm(fields => fields.set('classes.count', '999999')),
+    change: withFields(fields => fields.set('classes.count', '999999')),
   },
   {
     name: 'more items than are counted',
     statusCode: 400,
-    change: changedForm(fields => fields.set('classes.count', '1')),
+    change: withFields(fields => fields.set('classes.count', '1')),
   },
   {
     name: 'an invalid value',
     statusCode: 422,
-    change: changedForm(fields => fields.set('timing.drainMillis', '1 s')),
+    change: withFields(fields => fields.set('timing.drainMillis', '1 s')),
   },
   {
     name: 'values that do not fit together',
     statusCode: 422,
-    change: changedForm(fields =>
+    change: withFields(fields =>
       fields.set('services.0.connectionsCount', '1'),
     ),
   },
   {
     name: 'the version of the previous document',
     statusCode: 422,
-    change: changedForm(fields =>
+    change: withFields(fields =>
       fields.set('version', String(PREVIOUS_VERSION)),
     ),
   },
   {
     name: 'another deployment',
     statusCode: 422,
-    change: changedForm(fields => fields.set('deployment', 'elsewhere')),
+    change: withFields(fields => fields.set('deployment', 'elsewhere')),
   },
 ];
 
@@ -231,8 +232,8 @@
   test(`${name}: ${String(statusCode)}, and nothing is saved`, async t => {
     const {url, send, outputFile, fields} = await startConsole(t);
     const valid = fields.toString();
-    const answer = await send({page: 'save', ...change(fields, url.port)});
-    t.is(answer.statusCode, statusCode, answer.body);
+    const response = await send({page: 'save', ...change(fields, url.port)});
+    t.is(response.statusCode, statusCode, response.body);
     t.false(existsSync(outputFile));
     t.is((await send({page: 'document'})).statusCode, 404);
     const after = await send({page: 'save', body: valid});
@@ -265,7 +266,7 @@
   t.is(readFields(saved.body).get('version'), '7');
 });
 
-const takenFiles: readonly (readonly [name: string, content: string])[] = [
+const existingFiles: readonly (readonly [name: string, content: string])[] = [
   ['is no policy document', 'notes of the operator'],
   ['holds a newer version', new TextDecoder().decode(createPolicyBytes(9))],
   [
@@ -278,12 +279,12 @@
   ],
 ];
 
-for (const [name, content] of takenFiles) {
+for (const [name, content] of existingFiles) {
   test(`a file that ${name} is not overwritten`, async t => {
-    const {send, takenFile, fields} = await startConsole(t, content);
-    const answer = await send({page: 'save', body: fields.toString()});
-    t.is(answer.statusCode, 422);
-    t.is(readFileSync(takenFile, 'utf8'), content);
+    const {send, existingFile, fields} = await startConsole(t, content);
+    const response = await send({page: 'save', body: fields.toString()});
+    t.is(response.statusCode, 422);
+    t.is(readFileSync(existingFile, 'utf8'), content);
   });
 }
 
@@ -326,7 +327,7 @@
 
 test('every answer forbids foreign scripts, frames and forms', async t => {
   const {send, fields} = await startConsole(t);
-  const calls: readonly Call[] = [
+  const requests: readonly PageRequest[] = [
     {},
     {page: 'console.css'},
     {page: 'live_check.js'},
@@ -335,8 +336,8 @@
     {page: 'check', body: fields.toString()},
     {page: 'save', body: ''},
   ];
-  for (const call of calls) {
-    const {headers, body} = await send(call);
+  for (const request of requests) {
+    const {headers, body} = await send(request);
     const policy = String(headers['content-security-policy']);
     t.regex(policy, /default-src 'none'/);
     t.regex(policy, /script-src 'self'/);
--- a/test/contract/operator_reads.test.ts
+++ b/test/contract/operator_reads.test.ts
@@ -8,7 +8,7 @@
 import type {OperatorView} from '../../src/connection/operator_listener.js';
 import {openOperatorListener} from '../../src/connection/operator_listener.js';
 
-interface Read {
+interface OperatorResponse {
   readonly statusCode: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly text: string;
@@ -31,7 +31,7 @@
     server.closeAllConnections();
   });
   const {port} = server.address() as AddressInfo;
-  return (path: string, method = 'GET'): Promise<Read> =>
+  return (path: string, method = 'GET'): Promise<OperatorResponse> =>
     new Promise((resolve, reject) => {
       const request = http.request({
         port,
--- a/test/fakes/console_page.ts
+++ b/test/fakes/console_page.ts
@@ -2,7 +2,7 @@
  * What a browser would send from a page of the console.
  */
 
-const CONTROL = /<input([^>]*)>|<select([^>]*)>([\s\S]*?)<\/select>/g;
+const CONTROL_PATTERN = /<input([^>]*)>|<select([^>]*)>([\s\S]*?)<\/select>/g;
 const ENTITIES: Readonly<Record<string, string>> = {
   amp: '&',
   lt: '<',
@@ -14,7 +14,9 @@
 /** Reads all named controls of a page with their values. */
 export function readFields(page: string): URLSearchParams {
   const fields = new URLSearchParams();
-  for (const [, input, select = '', options = ''] of page.matchAll(CONTROL)) {
+  for (const [, input, select = '', options = ''] of page.matchAll(
+    CONTROL_PATTERN,
+  )) {
     const name = attributeOf(input ?? select, 'name');
     const selected = /<option value="([^"]*)" selected/.exec(options)?.[1];
     const value =
--- a/test/unit/cli/console/document_builder.test.ts
+++ b/test/unit/cli/console/document_builder.test.ts
@@ -14,7 +14,7 @@
 import {readSubmission} from '../../../../src/cli/console/form_fields.js';
 import {policyFormModel} from '../../../../src/cli/console/form_model.js';
 import {renderForm} from '../../../../src/cli/console/form_renderer.js';
-import {createStartingDraft} from '../../../../src/cli/console/new_items.js';
+import {createStartingDraft} from '../../../../src/cli/console/draft_templates.js';
 import {MAX_DOCUMENT_BYTES} from '../../../../src/version/json_document.js';
 import type {Policy} from '../../../../src/version/policy.js';
 import {readFields} from '../../../fakes/console_page.js';
@@ -27,7 +27,7 @@
 const BASE = compileOrThrow(createPolicyBytes(5)).policy;
 
 /** Draws the forms and reads them as a browser would send them. */
-function passThroughPage(draft: DraftGroup): DraftGroup {
+function submitThroughForm(draft: DraftGroup): DraftGroup {
   const page = renderForm(policyFormModel, draft, new Map()).markup;
   return readSubmission(policyFormModel, readFields(page)).draft;
 }
@@ -41,8 +41,8 @@
     const bytes = readFileSync(new URL(`${name}.json`, EXAMPLES_URL));
     const {policy} = compileOrThrow(bytes);
     const next = createNextDraft(policy);
-    t.deepEqual(passThroughPage(next), next);
-    const documentBytes = encodeDraft(passThroughPage(next));
+    t.deepEqual(submitThroughForm(next), next);
+    const documentBytes = encodeDraft(submitThroughForm(next));
     t.deepEqual(decode(documentBytes), {
       ...decode(bytes),
       version: policy.version + 1,
@@ -59,7 +59,7 @@
     const routes = [{...route!, name, path}];
     const services = [{...service!, name: path, routes}];
     const draft = {...createNextDraft(BASE), deployment: name, services};
-    t.deepEqual(passThroughPage(draft), draft);
+    t.deepEqual(submitThroughForm(draft), draft);
   });
   fc.assert(property, {numRuns: 50});
 });
@@ -119,13 +119,13 @@
     previous: compileOrThrow(createPolicyBytes(5)),
     outputFile: undefined,
   });
-  const draft = session.startDraft();
+  const draft = session.createInitialDraft();
   t.is(session.save({...draft, version: ''}).kind, 'refused');
   t.is(session.saved(), undefined);
   t.is(session.save(draft).kind, 'saved');
   t.is(session.saved()?.version, 6);
   t.is(session.save(draft).kind, 'refused');
-  t.is(session.startDraft()['version'], '7');
+  t.is(session.createInitialDraft()['version'], '7');
 });
 
 test('a document too large with line breaks is written without them', t => {
--- a/test/unit/cli/console/change_summary.test.ts
+++ b/test/unit/cli/console/draft_summary.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {summarizeChange} from '../../../../src/cli/console/change_summary.js';
+import {summarizeDraft} from '../../../../src/cli/console/draft_summary.js';
 import type {Policy} from '../../../../src/version/policy.js';
 import type {Mutable} from '../../../fakes/policy_documents.js';
 import {
@@ -13,7 +13,7 @@
 const [ROUTE] = SERVICE!.routes;
 
 function summarize(change: (draft: Mutable<Policy>) => void) {
-  return summarizeChange(compileOrThrow(createPolicyBytes(6, change)), BEFORE);
+  return summarizeDraft(compileOrThrow(createPolicyBytes(6, change)), BEFORE);
 }
 
 const changes: readonly {
@@ -89,7 +89,7 @@
 });
 
 test('a first document is compared with nothing', t => {
-  const summary = summarizeChange(
+  const summary = summarizeDraft(
     compileOrThrow(createPolicyBytes(1)),
     undefined,
   );
--- a/test/unit/cli/console/html.test.ts
+++ b/test/unit/cli/console/html.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import * as fc from 'fast-check';
-import {html, renderCodeWords} from '../../../../src/cli/console/html.js';
+import {html, renderCodeSpans} from '../../../../src/cli/console/html.js';
 import {unescapeText} from '../../../fakes/console_page.js';
 
 test('no inserted text can end a tag, an attribute or an entity', t => {
@@ -16,6 +16,6 @@
 
 test('markup keeps its tags, and the text within it is escaped once', t => {
   t.is(html`<b>${html`<i>${'<&'}</i>`}</b>`.markup, '<b><i>&lt;&amp;</i></b>');
-  const words = renderCodeWords('a `<b>` c');
+  const words = renderCodeSpans('a `<b>` c');
   t.is(html`${words}`.markup, 'a <code>&lt;b&gt;</code> c');
 });
--- a/test/unit/cli/policy_check_command.test.ts
+++ b/test/unit/cli/policy_check_command.test.ts
@@ -52,7 +52,7 @@
   return {code, text: output.lines.join('\n')};
 }
 
-const successions: readonly (readonly [
+const updates: readonly (readonly [
   name: string,
   version: number,
   change: (draft: Mutable<Policy>) => void,
@@ -72,7 +72,7 @@
   ],
 ];
 
-for (const [name, version, change, code, finding] of successions) {
+for (const [name, version, change, code, finding] of updates) {
   test(`a successor with ${name}`, t => {
     const checked = checkAgainst(t, version, change);
     t.is(checked.code, code);
--- a/test/unit/cli/policy_digest_key_command.test.ts
+++ b/test/unit/cli/policy_digest_key_command.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {digestKey} from '../../../src/cli/policy_digest_key_command.js';
+import {printKeyDigest} from '../../../src/cli/policy_digest_key_command.js';
 import {apiKeyDigest} from '../../../src/version/organisation.js';
 import {createRecordedOutput} from '../../fakes/recorded_output.js';
 
@@ -7,7 +7,7 @@
   const key = 'abcdefghij0123456789';
   for (const text of [key, `${key}\n`, `${key}\r\n`]) {
     const output = createRecordedOutput();
-    t.is(digestKey(text, output), 0);
+    t.is(printKeyDigest(text, output), 0);
     t.deepEqual(output.lines, [apiKeyDigest(key)]);
   }
 });
@@ -15,7 +15,7 @@
 test('a text that is no key is refused and not repeated', t => {
   for (const text of ['', 'short', 'two words of a key', 'x'.repeat(1025)]) {
     const output = createRecordedOutput();
-    t.is(digestKey(text, output), 1);
+    t.is(printKeyDigest(text, output), 1);
     t.deepEqual(output.lines, []);
     t.false(text !== '' && output.errorLines.join('').includes(text));
   }
--- a/test/unit/cli/state_command.test.ts
+++ b/test/unit/cli/state_command.test.ts
@@ -6,15 +6,18 @@
 
 import {parseAdminAddress} from '../../../src/cli/admin_client.js';
 import {showState} from '../../../src/cli/state_command.js';
-import {formatStateTable, stateRows} from '../../../src/cli/state_table.js';
+import {formatStateTable, toStateRows} from '../../../src/cli/state_table.js';
 
-type Answer = (
+type RequestHandler = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ) => void;
 
-async function openHost(t: ExecutionContext, answer: Answer): Promise<string> {
-  const server = http.createServer(answer);
+async function startHost(
+  t: ExecutionContext,
+  handler: RequestHandler,
+): Promise<string> {
+  const server = http.createServer(handler);
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   t.teardown(() => {
     server.closeAllConnections();
@@ -23,7 +26,7 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-function answerJson(content: unknown, statusCode = 200): Answer {
+function respondWithJson(content: unknown, statusCode = 200): RequestHandler {
   return (_request, response) => {
     response.writeHead(statusCode).end(JSON.stringify(content));
   };
@@ -50,7 +53,7 @@
 }
 
 test('the table is aligned, nested values have paths, lists are cut', t => {
-  const rows = stateRows('10.0.0.1:80', {
+  const rows = toStateRows('10.0.0.1:80', {
     fleet: {
       hosts: Array.from({length: 22}, (_, index) => ({name: `h${index}`})),
       zones: [],
@@ -68,8 +71,8 @@
 });
 
 test('several hosts are shown in the order given, as table and JSON', async t => {
-  const first = await openHost(t, answerJson({phase: 'serving'}));
-  const second = await openHost(t, answerJson({phase: 'draining'}));
+  const first = await startHost(t, respondWithJson({phase: 'serving'}));
+  const second = await startHost(t, respondWithJson({phase: 'draining'}));
   const table = await run([first, second]);
   t.is(table.exitCode, 0);
   t.regex(table.text, /serving\n.*draining$/);
@@ -81,7 +84,7 @@
 });
 
 test('one section is asked for by its path', async t => {
-  const host = await openHost(t, (request, response) => {
+  const host = await startHost(t, (request, response) => {
     response.end(JSON.stringify({path: request.url}));
   });
   const {text} = await run([host], {section: 'admission', json: true});
@@ -95,27 +98,27 @@
 // taken for the failure of all.
 const FAULTS: readonly {
   readonly title: string;
-  readonly answer: Answer;
+  readonly handler: RequestHandler;
   readonly line: RegExp;
 }[] = [
   {
     title: 'reset',
-    answer: (_request, response) => response.destroy(),
+    handler: (_request, response) => response.destroy(),
     line: /: connect: .*socket hang up/,
   },
   {
     title: 'error answer',
-    answer: answerJson({message: 'No such state section.'}, 404),
+    handler: respondWithJson({message: 'No such state section.'}, 404),
     line: /: answer: HTTP 404: No such state section\.$/,
   },
   {
     title: 'not JSON',
-    answer: (_request, response) => response.end('<html>'),
+    handler: (_request, response) => response.end('<html>'),
     line: /: read-answer: .*not JSON, as it would be from the administration port/,
   },
   {
     title: 'cut answer',
-    answer: (_request, response) => {
+    handler: (_request, response) => {
       response.writeHead(200, {'content-length': '100'});
       response.write('{');
       setImmediate(() => response.destroy());
@@ -124,7 +127,7 @@
   },
   {
     title: 'answer without end',
-    answer: (_request, response) => {
+    handler: (_request, response) => {
       const chunk = Buffer.alloc(1_048_576, 0x20);
       response.on('drain', () => response.write(chunk));
       response.write(chunk);
@@ -133,11 +136,11 @@
   },
 ];
 
-for (const {title, answer, line} of FAULTS) {
+for (const {title, handler, line} of FAULTS) {
   for (const json of [false, true]) {
     test(`a host that fails is listed, exit 1: ${title}, json ${json}`, async t => {
-      const good = await openHost(t, answerJson({phase: 'serving'}));
-      const bad = await openHost(t, answer);
+      const good = await startHost(t, respondWithJson({phase: 'serving'}));
+      const bad = await startHost(t, handler);
       const {exitCode, text, errorLines} = await run([bad, good], {json});
       t.is(exitCode, 1);
       t.is(errorLines.length, 1);
@@ -151,7 +154,7 @@
 }
 
 test('nobody listens: listed, exit 1', async t => {
-  const closed = await openHost(t, answerJson({}));
+  const closed = await startHost(t, respondWithJson({}));
   const {errorLines, exitCode} = await run([closed.replace(/\d+$/, '1')]);
   t.is(exitCode, 1);
   t.regex(errorLines[0] ?? '', /^127\.0\.0\.1:1: connect: .*ECONNREFUSED/);
