--- a/src/cli/admin_client.ts
+++ b/src/cli/admin_client.ts
@@ -1,5 +1,5 @@
 /**
- * Reads from the administration listeners of nodes.
+ * HTTP client for the administration listeners of nodes.
  */
 import * as http from 'node:http';
 
@@ -9,11 +9,11 @@
   TransportError,
 } from '../base/errors.js';
 
-/** Address of one administration listener. */
+/** Address of an administration listener. */
 export interface AdminAddress {
   readonly host: string;
   readonly port: number;
-  /** As the operator wrote it. */
+  /** The address as given on the command line. */
   readonly text: string;
 }
 
@@ -24,7 +24,10 @@
 const RESPONSE_MAXIMUM_BYTES = 16_777_216;
 const STATUS_OK = 200;
 
-/** Reads `address:port`, the address in brackets if it is IPv6. */
+/**
+ * Parses `address:port`, with an IPv6 address in brackets; throws
+ * `InvalidInputError` for anything else.
+ */
 export function parseAdminAddress(text: string): AdminAddress {
   const groups = ADDRESS_PATTERN.exec(text)?.groups;
   const host = groups?.['v6'] ?? groups?.['plain'];
@@ -32,11 +35,14 @@
   if (host !== undefined && port >= 1 && port <= PORT_MAXIMUM) {
     return {host, port, text};
   }
-  const message = `${JSON.stringify(text)} is no host; allowed: address:port of an administration listener.`;
+  const message = `${JSON.stringify(text)} is not a host; allowed: address:port of an administration listener.`;
   throw new InvalidInputError(message, {props: {step: 'arguments'}});
 }
 
-/** Fetches a JSON document; rejects with an error that names step and peer. */
+/**
+ * Fetches a JSON document. Rejects with a `TransportError` that has the failed
+ * step and the peer.
+ */
 export async function fetchAdminJson(
   address: AdminAddress,
   path: string,
@@ -61,7 +67,7 @@
   return await new Promise((resolve, reject) => {
     const request = http.get({host, port, path, signal, agent: false}, resolve);
     request.on('error', cause => {
-      reject(new TransportError('No answer:', {cause, props}));
+      reject(new TransportError('No response:', {cause, props}));
     });
   });
 }
@@ -76,14 +82,14 @@
     for await (const chunk of response as AsyncIterable<Buffer>) {
       sizeBytes += chunk.byteLength;
       if (sizeBytes > RESPONSE_MAXIMUM_BYTES) {
-        const message = `The answer is larger than ${String(RESPONSE_MAXIMUM_BYTES)} bytes`;
+        const message = `The response is larger than ${String(RESPONSE_MAXIMUM_BYTES)} bytes`;
         throw new CapacityError(message);
       }
       chunks.push(chunk);
     }
   } catch (cause) {
     const props = {step: 'read-answer', peer};
-    throw new TransportError('The answer is incomplete:', {cause, props});
+    throw new TransportError('The response is incomplete:', {cause, props});
   }
   return Buffer.concat(chunks).toString('utf8');
 }
@@ -93,7 +99,7 @@
     return JSON.parse(text);
   } catch (cause) {
     const message =
-      'The answer is not JSON, as it would be from the administration port:';
+      'The response is not JSON; check that this is the administration port:';
     const props = {step: 'read-answer', peer};
     throw new TransportError(message, {cause, props});
   }
--- a/src/cli/command_output.ts
+++ b/src/cli/command_output.ts
@@ -1,8 +1,8 @@
 /**
- * Where commands print, and the codes they exit with.
+ * Output streams and exit codes of the commands.
  */
 
-/** Receives the lines a command prints. */
+/** Receives the lines that a command prints, without line breaks. */
 export interface CommandOutput {
   writeLine(line: string): void;
   writeErrorLine(line: string): void;
@@ -11,16 +11,15 @@
 /** Exit codes of all commands. */
 export const EXIT = {
   ok: 0,
-  /** A document has problems, or something asked for is not in it. */
+  /** A document is invalid, or a requested item is not in it. */
   invalid: 1,
   /** Wrong arguments or an unreadable file. */
   usage: 2,
 } as const;
 
-/** One of the exit codes. */
 export type ExitCode = (typeof EXIT)[keyof typeof EXIT];
 
-/** Prints to the streams of the process. */
+/** Writes to standard output and standard error of the process. */
 export const processOutput: CommandOutput = {
   writeLine: line => {
     process.stdout.write(`${line}\n`);
--- a/src/cli/log_lines.ts
+++ b/src/cli/log_lines.ts
@@ -1,20 +1,20 @@
 /**
- * Lines of the logs of nodes, from files or from standard input.
+ * Reads the log lines of nodes from files or from standard input.
  */
 import {createReadStream} from 'node:fs';
 import {createInterface} from 'node:readline';
 import type {Readable} from 'node:stream';
 import {InvalidInputError} from '../base/errors.js';
 
-/** Fields of one line. */
+/** Fields of one log line. */
 export type LogLine = Readonly<Record<string, unknown>>;
 
-/** Ids of calls are the id of their request, this, and a part of their own. */
+/** Separates the id of a request from the suffix in the ids of its calls. */
 export const REQUEST_ID_SEPARATOR = '.';
 
 /**
- * Reads all lines of files, or of the input if there are none; throws
- * `InvalidInputError` for a file that cannot be read.
+ * Reads all lines of the files, or of `input` if no files are given. Throws
+ * `InvalidInputError` if a file cannot be read.
  */
 export async function* readLogLines(
   files: readonly string[],
@@ -34,7 +34,10 @@
   }
 }
 
-/** Some log collectors put a time or a host before the JSON. */
+/**
+ * Parses a line; returns undefined if it holds no JSON object. Text before the
+ * JSON is skipped, since some log collectors prepend a time or a host.
+ */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
--- a/src/cli/losses.ts
+++ b/src/cli/losses.ts
@@ -1,33 +1,33 @@
 /**
- * Sums up from the logs of a fleet which requests of clients were not served,
- * when, and for what reason.
+ * Summarizes from the logs of a fleet which client requests failed, when and for
+ * what reason.
  */
 import type {LogLine} from './log_lines.js';
 import {REQUEST_ID_SEPARATOR} from './log_lines.js';
 
-/** Requests that ended alike. */
+/** Failed requests with the same route, reason or time span. */
 export interface LossRow {
-  /** Route, reason, or beginning of a span of time. */
+  /** Reason, route with reason, or start of a time span (ISO 8601). */
   readonly name: string;
   readonly count: number;
-  /** Time for which they were held before they ended so. */
+  /** Total time for which the requests were held before they failed. */
   readonly heldMillis: number;
 }
 
-/** What was lost. */
+/** Failed client requests, grouped in three ways. */
 export interface LossSummary {
   readonly count: number;
-  /** Share of the decisions of these kinds that the logs hold lines of. */
+  /** Share of the failures, calls included, that have their own log line. */
   readonly coveredRatio: number;
   readonly byReason: readonly LossRow[];
   readonly byRoute: readonly LossRow[];
   readonly bySpan: readonly LossRow[];
 }
 
-/** Gathers lines, in any order. */
+/** Collects log lines, in any order. */
 export interface LossCounter {
   add(line: LogLine): void;
-  /** Sums up what was gathered by spans of time of this length. */
+  /** Summarizes the collected lines, with time spans of this length. */
   summarize(spanMillis: number): LossSummary;
 }
 
@@ -38,11 +38,11 @@
   readonly heldMillis: number;
   readonly event: string;
   readonly line: LogLine;
-  /** This one, and those of its kind that were left out before it. */
+  /** This failure and the failures like it whose lines were suppressed. */
   readonly count: number;
 }
 
-/** Events that end a request without an answer of success. */
+/** Events that end a request without a successful response. */
 const LOSS_EVENTS: ReadonlySet<string> = new Set([
   'shed',
   'refused',
@@ -51,7 +51,7 @@
   'client-left',
 ]);
 
-/** Reasons of nodes and upstreams in the words of the summary. */
+/** Labels in the summary for the reasons that nodes and upstreams log. */
 const REASON_LABELS: Readonly<Record<string, string>> = {
   'not-executed': 'rejected by upstreams of',
   'queue-full': 'no slot in time at',
@@ -66,10 +66,10 @@
   isolated: 'may crash upstreams of',
 };
 
-/** Creates a counter that has gathered nothing. */
+/** Creates an empty counter. */
 export function createLossCounter(): LossCounter {
   const losses: Loss[] = [];
-  /** For each request of a client, the deepest call that failed for it. */
+  /** For each client request, its failed call that is deepest in the chain. */
   const failedCalls = new Map<string, Loss>();
   let linesCount = 0;
   let suppressedCount = 0;
--- a/src/cli/losses_command.ts
+++ b/src/cli/losses_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow losses [FILE...]`: which requests a fleet did not serve, and why.
+ * `fulmarhollow losses [FILE...]`: summarizes failed requests of a fleet.
  */
 import type {Readable} from 'node:stream';
 import type {CommandModule} from 'yargs';
@@ -17,7 +17,7 @@
   readonly json: boolean;
 }
 
-/** Rows of each table: more are of the ones that cost little. */
+/** Rows shown in each table; any further rows have the lowest counts. */
 const MAX_SHOWN_ROWS_COUNT = 12;
 
 const DEFAULT_SPAN_SECONDS = 2;
@@ -50,14 +50,14 @@
   },
 };
 
-/** Prints what was lost; resolves with the exit code. */
+/** Prints the summary; resolves with the exit code. */
 export async function printLosses(
   args: LossesArguments,
   input: Readable,
   output: CommandOutput,
 ): Promise<ExitCode> {
   if (!(args.spanSeconds > 0)) {
-    output.writeErrorLine('spanSeconds must be a number above 0.');
+    output.writeErrorLine('spanSeconds must be a number greater than 0.');
     return EXIT.usage;
   }
   const counter = createLossCounter();
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * Entry of the command-line tool; all commands are wired here.
+ * Entry point of the command-line tool; registers all commands.
  */
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
@@ -18,10 +18,10 @@
   .command(stateCommand)
   .command(traceCommand)
   .command(lossesCommand)
-  .demandCommand(1, 'a command is needed; --help lists them')
+  .demandCommand(1, 'a command is required; --help lists the commands')
   .strict()
   .fail((message, error) => {
-    // yargs would exit with 1, which stands for an invalid document here.
+    // yargs would exit with 1, which means an invalid document here.
     processOutput.writeErrorLine(message || error.message);
     process.exit(EXIT.usage);
   })
--- a/src/cli/policy_changes.ts
+++ b/src/cli/policy_changes.ts
@@ -1,5 +1,5 @@
 /**
- * Differences between two policies, each with those whom it concerns.
+ * Finds the differences between two policies and whom each one affects.
  */
 import type {
   Policy,
@@ -8,19 +8,19 @@
   Service,
 } from '../version/policy.js';
 
-/** One difference. */
+/** One difference between two policies. */
 export interface PolicyChange {
-  /** Place in the document, with names instead of positions. */
+  /** Path in the document, with names of list items instead of indexes. */
   readonly path: string;
-  /** Undefined when it is new. */
+  /** Undefined if the field or item was added. */
   readonly before: unknown;
-  /** Undefined when it is gone. */
+  /** Undefined if the field or item was removed. */
   readonly after: unknown;
-  /** Whom it concerns. */
+  /** Whom the change affects. */
   readonly concerns: string;
 }
 
-/** Fields compared one by one; values are plain JSON values. */
+/** Fields that are compared one by one; values are JSON scalars. */
 type Fields = Readonly<Record<string, unknown>>;
 
 interface NamedItem {
@@ -39,7 +39,7 @@
   ['timing', 'every host'],
 ] as const;
 
-/** Lists the differences in the order of the document. */
+/** Returns the differences in document order. */
 export function findPolicyChanges(
   before: Policy,
   after: Policy,
@@ -96,7 +96,7 @@
   ];
 }
 
-/** One line for a terminal. */
+/** Formats a change as one line of terminal output. */
 export function formatChange(change: PolicyChange): string {
   return `${change.path}: ${describeValues(change)} (${change.concerns})`;
 }
@@ -107,7 +107,7 @@
   return `${JSON.stringify(before)} -> ${JSON.stringify(after)}`;
 }
 
-/** Adds the position, which decides over importance, as a field. */
+/** Adds the 1-based position, which defines the importance, as a field. */
 function addClassRanks(policy: Policy) {
   return policy.classes.map((requestClass, index) => ({
     ...requestClass,
--- a/src/cli/policy_check_command.ts
+++ b/src/cli/policy_check_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow policy check FILE...`: every fault of policy documents.
+ * `fulmarhollow policy check FILE...`: reports all problems of policy documents.
  */
 import type {CommandModule} from 'yargs';
 import type {CommandOutput, ExitCode} from './command_output.js';
@@ -13,7 +13,7 @@
 /** Arguments of the command. */
 export interface PolicyCheckArguments {
   readonly files: readonly string[];
-  /** File of the version to be replaced. */
+  /** File with the version to be replaced. */
   readonly previous: string | undefined;
 }
 
@@ -36,14 +36,14 @@
       })
       .check(args => {
         if (args.previous === undefined || args.files.length === 1) return true;
-        throw new Error('--previous goes with exactly one file');
+        throw new Error('--previous requires exactly one file');
       }),
   handler: args => {
     process.exitCode = checkPolicyFiles(args, processOutput);
   },
 };
 
-/** Checks all files, whatever is wrong with some; the worst exit code counts. */
+/** Checks all files even if some fail; returns the highest exit code. */
 export function checkPolicyFiles(
   args: PolicyCheckArguments,
   output: CommandOutput,
--- a/src/cli/policy_command.ts
+++ b/src/cli/policy_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow policy`: the commands for policy documents.
+ * `fulmarhollow policy`: commands for policy documents.
  */
 import type {CommandModule} from 'yargs';
 import {policyCheckCommand} from './policy_check_command.js';
@@ -8,7 +8,7 @@
 import {policyExplainCommand} from './policy_explain_command.js';
 import {policyNewCommand} from './policy_new_command.js';
 
-/** The group of commands for yargs. */
+/** The command group for yargs. */
 export const policyCommand: CommandModule = {
   command: 'policy <command>',
   describe: 'write and check policy documents',
--- a/src/cli/policy_diff_command.ts
+++ b/src/cli/policy_diff_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow policy diff OLD NEW`: what changes for whom.
+ * `fulmarhollow policy diff OLD NEW`: lists changes and whom they affect.
  */
 import type {CommandModule} from 'yargs';
 import type {CommandOutput, ExitCode} from './command_output.js';
@@ -41,7 +41,7 @@
   },
 };
 
-/** Prints the changes and the warnings that go with them. */
+/** Prints the changes and the warnings of the update. */
 export function printPolicyChanges(
   args: PolicyDiffArguments,
   output: CommandOutput,
--- a/src/cli/policy_digest_key_command.ts
+++ b/src/cli/policy_digest_key_command.ts
@@ -1,7 +1,7 @@
 /**
- * `fulmarhollow policy digest-key`: the digest of an API key for the policy
- * document. The key is read from standard input, since arguments of a process are
- * visible to others.
+ * `fulmarhollow policy digest-key`: prints the digest of an API key for the policy
+ * document. The key is read from standard input because process arguments are
+ * visible to other users of the machine.
  */
 import {readFileSync} from 'node:fs';
 import type {CommandModule} from 'yargs';
@@ -9,7 +9,7 @@
 import {EXIT, processOutput} from './command_output.js';
 import {apiKeyDigest} from '../version/organisation.js';
 
-/** What a client can send as a bearer token (RFC 6750, 2.1). */
+/** Bearer token syntax (RFC 6750, section 2.1), with a minimum length. */
 const KEY_PATTERN = /^[A-Za-z0-9\-._~+/]{16,1024}=*$/;
 
 const STDIN_FILE_DESCRIPTOR = 0;
@@ -24,12 +24,12 @@
   },
 };
 
-/** Prints the digest; a text that no client can send as a key is an error. */
+/** Prints the digest; fails if the text is not a valid bearer token. */
 export function printKeyDigest(text: string, output: CommandOutput): ExitCode {
   const key = text.replace(/\r?\n$/, '');
   if (!KEY_PATTERN.test(key)) {
     output.writeErrorLine(
-      'a key has 16 to 1024 letters, digits and -._~+/, and may end with =',
+      'an API key must have 16 to 1024 letters, digits and -._~+/, and may end with =',
     );
     return EXIT.invalid;
   }
--- a/src/cli/policy_explain_command.ts
+++ b/src/cli/policy_explain_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow policy explain FILE`: the rules for one kind of request.
+ * `fulmarhollow policy explain FILE`: shows the rules for a request.
  */
 import type {CommandModule} from 'yargs';
 import type {CommandOutput, ExitCode} from './command_output.js';
@@ -13,7 +13,7 @@
   readonly file: string;
   readonly service: string;
   readonly method: string;
-  /** Path of a request, not a pattern. */
+  /** Path of a request, not a route pattern. */
   readonly path: string;
   readonly json: boolean;
 }
@@ -60,7 +60,7 @@
   },
 };
 
-/** Prints the rules, or what the document has instead of the route. */
+/** Prints the rules, or the known services or routes if none matches. */
 export function explainRequest(
   args: PolicyExplainArguments,
   output: CommandOutput,
@@ -96,5 +96,5 @@
   const routes = service.routes
     .map(route => `${route.method} ${route.path}`)
     .join(', ');
-  return `no route of ${serviceName} fits ${method} ${path}; it has ${routes}`;
+  return `no route of ${serviceName} matches ${method} ${path}; it has ${routes}`;
 }
--- a/src/cli/policy_file.ts
+++ b/src/cli/policy_file.ts
@@ -1,5 +1,5 @@
 /**
- * Reading of policy documents from files.
+ * Reads and compiles policy documents from files.
  */
 import {closeSync, openSync, readSync} from 'node:fs';
 import type {CommandOutput, ExitCode} from './command_output.js';
@@ -11,13 +11,13 @@
 import type {Problem} from '../version/problem.js';
 import {formatProblem} from '../version/problem.js';
 
-/** What a file turned out to hold. */
+/** Result of reading and compiling a file. */
 export type PolicyFileResult =
   | {readonly kind: 'compiled'; readonly compiled: CompiledPolicy}
   | {readonly kind: 'invalid'; readonly problems: readonly Problem[]}
   | {readonly kind: 'unreadable'; readonly message: string};
 
-/** Reads and compiles one file. */
+/** Reads and compiles a file; never throws. */
 export function readPolicyFile(filePath: string): PolicyFileResult {
   try {
     return compilePolicy(readFileBounded(filePath));
@@ -26,7 +26,10 @@
   }
 }
 
-/** Reads a file that must be usable; prints why it is not. */
+/**
+ * Reads a file that must hold a valid document; otherwise prints the problems
+ * and returns the exit code.
+ */
 export function readValidPolicy(
   filePath: string,
   output: CommandOutput,
@@ -46,7 +49,7 @@
   }
 }
 
-/** Reads one byte more than is allowed, so that a file too large is noticed. */
+/** Reads up to one byte more than allowed, so that the size check can fail. */
 function readFileBounded(filePath: string): Uint8Array {
   const buffer = Buffer.alloc(MAX_DOCUMENT_BYTES + 1);
   const descriptor = openSync(filePath, 'r');
--- a/src/cli/policy_new_command.ts
+++ b/src/cli/policy_new_command.ts
@@ -12,7 +12,7 @@
 /** Arguments of the command. */
 export interface PolicyNewArguments {
   readonly deployment: string;
-  /** Each `NAME` or `NAME:REGION`; the region is the deployment's name if left out. */
+  /** Each `NAME` or `NAME:REGION`; the region defaults to the deployment. */
   readonly zone: readonly string[];
 }
 
@@ -42,7 +42,7 @@
   },
 };
 
-/** Prints the document; names that it may not hold are usage errors. */
+/** Prints the document; invalid names are usage errors. */
 export function printStartingPolicy(
   args: PolicyNewArguments,
   output: CommandOutput,
--- a/src/cli/policy_update.ts
+++ b/src/cli/policy_update.ts
@@ -1,16 +1,16 @@
 /**
- * Checks of a policy document against the one it is to replace.
+ * Checks a policy document against the version that it replaces.
  */
 import type {Policy} from '../version/policy.js';
 import type {Problem} from '../version/problem.js';
 
-/** What keeps a document from following another, and what to know if it does. */
+/** Problems that prevent the update, and warnings about its effects. */
 export interface PolicyUpdateReport {
   readonly problems: readonly Problem[];
   readonly warnings: readonly string[];
 }
 
-/** Compares a document with its predecessor. */
+/** Compares a document with the previous version. */
 export function checkPolicyUpdate(
   previous: Policy,
   next: Policy,
@@ -43,7 +43,7 @@
   return problems;
 }
 
-/** Hosts of a zone that is not in the document count as far away. */
+/** Hosts in a zone that is missing from the document are treated as remote. */
 function findZoneWarnings(previous: Policy, next: Policy): readonly string[] {
   const change = describeSetChange(zoneNames(previous), zoneNames(next));
   if (change === undefined) return [];
--- a/src/cli/route_explanation.ts
+++ b/src/cli/route_explanation.ts
@@ -1,5 +1,5 @@
 /**
- * What a policy says about one kind of request, in figures and in words.
+ * The rules of a policy for one route, as data and as text.
  */
 import type {
   CompiledPolicy,
@@ -15,7 +15,7 @@
   readonly method: string;
   readonly path: string;
   readonly className: string;
-  /** Position of the class; 1 is most important. */
+  /** Position of the class; 1 is the most important. */
   readonly classRank: number;
   readonly classesCount: number;
   /** Classes that are shed before this one. */
@@ -26,9 +26,9 @@
   readonly queueCount: number;
   readonly queueWaitMillis: number;
   readonly slotsCount: number;
-  /** Slots of one upstream that the class may use at most. */
+  /** Maximum number of slots of one upstream that the class may use. */
   readonly usableSlotsCount: number;
-  /** Share that lower classes leave free for this class. */
+  /** Share of the limit that less important classes leave free. */
   readonly reservedRatio: number;
 }
 
@@ -39,10 +39,10 @@
     'is never sent again once a byte may have reached an upstream, nor is anything done on its behalf unless that is safe',
 };
 
-/** Keeps sums such as 0.1 + 0.2 from costing a slot. */
+/** Prevents rounding errors, as in 0.1 + 0.2, from removing a slot. */
 const ROUNDING_TOLERANCE_RATIO = 1e-9;
 
-/** Collects the rules for a route. */
+/** Collects the rules that apply to a route. */
 export function explainRoute(
   compiled: CompiledPolicy,
   {service, route, classIndex}: RouteMatch,
@@ -74,7 +74,7 @@
   };
 }
 
-/** Renders the rules, one line each. */
+/** Formats the rules, one line each. */
 export function formatExplanation(rules: RouteExplanation): readonly string[] {
   return [
     `${rules.method} ${rules.path} of ${rules.service} is route ${rules.route} (policy version ${String(rules.policyVersion)})`,
--- a/src/cli/starting_policy.ts
+++ b/src/cli/starting_policy.ts
@@ -1,15 +1,15 @@
 /**
- * A complete policy document to start from.
+ * Template for a new policy document.
  */
 import type {AvailabilityZone, Policy} from '../version/policy.js';
 
-/** What differs between starting documents. */
+/** Values that the operator provides. */
 export interface StartingPolicyOptions {
   readonly deployment: string;
   readonly availabilityZones: readonly AvailabilityZone[];
 }
 
-/** Creates a document with one service and one route of each kind. */
+/** Creates a document with one service that has a route for each retry rule. */
 export function createStartingPolicy(options: StartingPolicyOptions): Policy {
   return {
     formatVersion: 1,
--- a/src/cli/state_command.ts
+++ b/src/cli/state_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow state HOST...`: state of running nodes as a table or JSON.
+ * `fulmarhollow state HOST...`: shows the state of running nodes.
  */
 import type {CommandModule} from 'yargs';
 
@@ -15,13 +15,13 @@
   readonly json: boolean;
 }
 
-/** Receives the lines the command prints. */
+/** Receives the lines that the command prints. */
 export interface StateOutput {
   writeLine(line: string): void;
   writeErrorLine(line: string): void;
 }
 
-/** State of one node, or why it could not be read. */
+/** State of one node, or the reason why it could not be read. */
 type HostState =
   | {
       readonly kind: 'read';
@@ -69,7 +69,10 @@
   },
 };
 
-/** Reads and prints the state of all hosts; resolves with the exit code. */
+/**
+ * Reads and prints the state of all hosts; resolves with the exit code, which is
+ * 1 if a host could not be read.
+ */
 export async function showState(
   args: StateArguments,
   output: StateOutput,
@@ -83,7 +86,7 @@
   return unreachable.length > 0 ? EXIT_UNREACHABLE : 0;
 }
 
-/** Reads a few hosts at a time, so that a whole fleet can be named. */
+/** Reads hosts in batches, which limits open connections for large fleets. */
 async function readStates(
   hosts: readonly AdminAddress[],
   section: string | undefined,
--- a/src/cli/state_table.ts
+++ b/src/cli/state_table.ts
@@ -1,8 +1,8 @@
 /**
- * State dumps as an aligned table.
+ * Formats state dumps as an aligned table.
  */
 
-/** One value of a dump. */
+/** One scalar value of a state dump. */
 interface StateRow {
   readonly host: string;
   readonly section: string;
@@ -13,10 +13,10 @@
 const COLUMNS = ['host', 'section', 'field', 'value'] as const;
 const COLUMN_GAP = '  ';
 
-/** Items of one list that are shown; the rest is only counted. */
+/** Items shown of a list; the others are only counted. */
 const MAX_SHOWN_ITEMS_COUNT = 20;
 
-/** Rows of one host's sections. */
+/** Flattens the sections of a host into rows. */
 export function toStateRows(
   host: string,
   sections: Readonly<Record<string, unknown>>,
@@ -31,7 +31,7 @@
   );
 }
 
-/** Text of a table with a heading; columns are as wide as their content. */
+/** Formats a table with a header; columns are as wide as their content. */
 export function formatStateTable(rows: readonly StateRow[]): string {
   const heading = {
     host: 'HOST',
@@ -83,7 +83,7 @@
   return [...fields, {field, value: `(${String(hiddenCount)} more)`}];
 }
 
-/** Control characters would move the cursor and break the table. */
+/** Replaces control characters, which could move the terminal cursor. */
 function formatScalar(value: unknown): string {
   return String(value).replace(/\p{Cc}/gu, ' ');
 }
--- a/src/cli/trace_command.ts
+++ b/src/cli/trace_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow trace ID [FILE...]`: what the logs of nodes say of one request.
+ * `fulmarhollow trace ID [FILE...]`: shows the log lines of one request.
  */
 import type {Readable} from 'node:stream';
 import type {CommandModule} from 'yargs';
@@ -12,16 +12,16 @@
   readonly files: readonly string[];
 }
 
-/** One line of a log that concerns the request. */
+/** A log line about the request or one of its calls. */
 export interface TracedLine {
   readonly time: string;
   readonly node: string;
   readonly event: string;
-  /** Other fields, as `name=value`. */
+  /** The other fields as `name=value`, separated by spaces. */
   readonly fields: string;
 }
 
-/** Fields that every line has, and those shown apart. */
+/** Fields that every line has, and fields printed in their own columns. */
 const HIDDEN_FIELDS: ReadonlySet<string> = new Set([
   'name',
   'hostname',
@@ -61,7 +61,7 @@
   },
 };
 
-/** Prints the lines in the order of their time; resolves with the exit code. */
+/** Prints the lines ordered by time; resolves with the exit code. */
 export async function printTrace(
   args: TraceArguments,
   input: Readable,
@@ -79,7 +79,7 @@
   }
   if (lines.length > 0) return 0;
   writeLine(
-    `No line names ${args.id}; lines beyond a node's bound are left out, see suppressedCount.`,
+    `No log line found for ${args.id}; nodes suppress lines beyond their rate limit, see suppressedCount.`,
   );
   return EXIT_NOTHING_FOUND;
 }
@@ -96,7 +96,7 @@
   return found.sort((a, b) => (a.time < b.time ? -1 : 1));
 }
 
-/** The line if it concerns the request or a call made for it. */
+/** Parses a line; undefined if it is not about the request or its calls. */
 export function parseTracedLine(
   text: string,
   id: string,
--- a/test/unit/cli/losses_command.test.ts
+++ b/test/unit/cli/losses_command.test.ts
@@ -67,7 +67,7 @@
   return {code, text: printed.join('\n')};
 }
 
-test('a request counts once, by the call that failed deepest for it', async t => {
+test('a request counts once, under its failed call that is deepest in the chain', async t => {
   const {code, text} = await run(true);
   t.is(code, 0);
   t.deepEqual(JSON.parse(text), {
@@ -102,13 +102,13 @@
   });
 });
 
-test('the tables say what share of the decisions the logs hold', async t => {
+test('the tables state the share of failures that have a log line', async t => {
   const {text} = await run(false);
   t.regex(text, /^6 attempts of clients not served; lines of 62.5%/);
   t.regex(text, /4 +0\.0 {2}turned away for catalogue, overload/);
 });
 
-test('logs with nothing in them, lines that are none, and a wrong span', async t => {
+test('empty logs, malformed lines and an invalid span', async t => {
   t.regex((await run(false, [])).text, /^0 attempts/);
   t.is((await run(false, ['{', '7', '{"event":"shed"}'])).code, 0);
   t.is((await run(false, LINES, 0)).code, 2);
--- a/test/unit/cli/main.test.ts
+++ b/test/unit/cli/main.test.ts
@@ -1,5 +1,5 @@
 /**
- * The built program as a child process: exit codes and streams.
+ * Exit codes and output streams of the built program, run as a child process.
  */
 import {execFile} from 'node:child_process';
 import {fileURLToPath} from 'node:url';
@@ -29,7 +29,7 @@
   });
 }
 
-test('what `policy new` prints passes `policy check`', async t => {
+test('the output of `policy new` passes `policy check`', async t => {
   const writeFile = createFileWriter(t);
   const created = await run('policy', 'new', '--deployment', 'coast');
   t.is(created.code, 0);
--- a/test/unit/cli/policy_check_command.test.ts
+++ b/test/unit/cli/policy_check_command.test.ts
@@ -1,5 +1,5 @@
 /**
- * `policy check`: findings and exit codes.
+ * `policy check`: reported problems and exit codes.
  */
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
@@ -11,7 +11,7 @@
 import {createRecordedOutput} from '../../fakes/recorded_output.js';
 import {createFileWriter} from '../../fakes/temporary_files.js';
 
-test('all files are checked and the worst result is the exit code', t => {
+test('all files are checked and the highest exit code is returned', t => {
   const writeFile = createFileWriter(t);
   const good = writeFile('good.json', createPolicyBytes(3));
   const bad = writeFile(
@@ -73,14 +73,14 @@
 ];
 
 for (const [name, version, change, code, finding] of updates) {
-  test(`a successor with ${name}`, t => {
+  test(`an update with ${name}`, t => {
     const checked = checkAgainst(t, version, change);
     t.is(checked.code, code);
     t.regex(checked.text, finding);
   });
 }
 
-test('a previous version that cannot be used is told', t => {
+test('an unusable previous version is reported', t => {
   const writeFile = createFileWriter(t);
   const next = writeFile('next.json', createPolicyBytes(4));
   const broken = writeFile('broken.json', '{');
@@ -89,7 +89,7 @@
   t.regex(output.errorLines[0] ?? '', /broken\.json: \$: /);
 });
 
-test('API keys that organisations share, or that are no digests, are faults with their place', t => {
+test('API keys that are shared by organisations or are not digests are reported with their path', t => {
   const writeFile = createFileWriter(t);
   const digest = 'ab'.repeat(32);
   const organisation = (name: string, digests: readonly string[]) => ({
--- a/test/unit/cli/policy_diff_command.test.ts
+++ b/test/unit/cli/policy_diff_command.test.ts
@@ -1,5 +1,5 @@
 /**
- * `policy diff`: what changes, and for whom.
+ * `policy diff`: changes and whom they affect.
  */
 import test from 'ava';
 import {printPolicyChanges} from '../../../src/cli/policy_diff_command.js';
@@ -46,7 +46,7 @@
   t.is(changes[6]?.before, undefined);
 });
 
-test('text names the change and warns; equal documents have no changes', t => {
+test('text lists changes and warnings; equal documents have no changes', t => {
   const writeFile = createFileWriter(t);
   const before = writeFile('before.json', createPolicyBytes(1));
   const after = writeFile(
--- a/test/unit/cli/policy_explain_command.test.ts
+++ b/test/unit/cli/policy_explain_command.test.ts
@@ -1,5 +1,5 @@
 /**
- * `policy explain`: rules for a request, as text and as JSON.
+ * `policy explain`: the rules for a request, as text and as JSON.
  */
 import test from 'ava';
 import type {ExecutionContext} from 'ava';
@@ -17,7 +17,7 @@
   return {code, output};
 }
 
-test('every rule is told in words', t => {
+test('every rule is printed as text', t => {
   const {code, output} = explain(t, {});
   t.is(code, 0);
   const text = output.lines.join('\n');
@@ -30,7 +30,7 @@
   t.regex(text, /may use 20 of 20 at one upstream; .* 0\.2 of the limit/);
 });
 
-test('JSON carries the same rules; the query string is ignored', t => {
+test('JSON has the same rules; the query string is ignored', t => {
   const {output} = explain(t, {
     method: 'GET',
     path: '/orders/7?x=1',
@@ -38,11 +38,11 @@
   });
   const rules = JSON.parse(output.lines.join('\n')) as Record<string, unknown>;
   t.is(rules['route'], 'read-order');
-  t.is(rules['usableSlotsCount'], 16, '20 slots less the reserve of orders');
+  t.is(rules['usableSlotsCount'], 16, '20 slots minus the reserve of orders');
   t.deepEqual(rules['lessImportantClasses'], ['background']);
 });
 
-test('a request that fits nothing is told what there is', t => {
+test('a request that matches nothing lists the known services or routes', t => {
   const noRoute = explain(t, {path: '/nothing'});
   t.is(noRoute.code, 1);
   t.regex(noRoute.output.errorLines[0] ?? '', /it has POST \/orders, GET/);
--- a/test/unit/cli/policy_new_command.test.ts
+++ b/test/unit/cli/policy_new_command.test.ts
@@ -1,5 +1,5 @@
 /**
- * `policy new`: the starting document is valid and carries the given names.
+ * `policy new`: the template is valid and contains the given names.
  */
 import test from 'ava';
 import {printStartingPolicy} from '../../../src/cli/policy_new_command.js';
@@ -21,7 +21,7 @@
   t.deepEqual(findPolicyWarnings(policy), []);
 });
 
-test('names that the document may not hold print no document', t => {
+test('invalid names print no document', t => {
   const output = createRecordedOutput();
   t.is(printStartingPolicy({deployment: 'coast', zone: ['a', 'a']}, output), 2);
   t.deepEqual(output.lines, []);
--- a/test/unit/cli/state_command.test.ts
+++ b/test/unit/cli/state_command.test.ts
@@ -52,7 +52,7 @@
   return {exitCode, text: lines.join('\n'), errorLines};
 }
 
-test('the table is aligned, nested values have paths, lists are cut', t => {
+test('the table is aligned, nested values have paths, lists are truncated', t => {
   const rows = toStateRows('10.0.0.1:80', {
     fleet: {
       hosts: Array.from({length: 22}, (_, index) => ({name: `h${index}`})),
@@ -83,7 +83,7 @@
   ]);
 });
 
-test('one section is asked for by its path', async t => {
+test('a section is requested by its path', async t => {
   const host = await startHost(t, (request, response) => {
     response.end(JSON.stringify({path: request.url}));
   });
@@ -93,9 +93,9 @@
   ]);
 });
 
-// Symptom: the command hangs, ends with a stack trace or hides hosts that did
-// answer. Sequence: one of several hosts cannot be read. Cause: one failure
-// taken for the failure of all.
+// Guards against a command that hangs, prints a stack trace or omits the hosts
+// that responded when one of several hosts can't be read, because one failed
+// read is treated as a failure of all.
 const FAULTS: readonly {
   readonly title: string;
   readonly handler: RequestHandler;
@@ -107,17 +107,17 @@
     line: /: connect: .*socket hang up/,
   },
   {
-    title: 'error answer',
+    title: 'error response',
     handler: respondWithJson({message: 'No such state section.'}, 404),
     line: /: answer: HTTP 404: No such state section\.$/,
   },
   {
     title: 'not JSON',
     handler: (_request, response) => response.end('<html>'),
-    line: /: read-answer: .*not JSON, as it would be from the administration port/,
+    line: /: read-answer: .*not JSON; check that this is the administration port/,
   },
   {
-    title: 'cut answer',
+    title: 'truncated response',
     handler: (_request, response) => {
       response.writeHead(200, {'content-length': '100'});
       response.write('{');
@@ -126,7 +126,7 @@
     line: /: read-answer: .*incomplete/,
   },
   {
-    title: 'answer without end',
+    title: 'endless response',
     handler: (_request, response) => {
       const chunk = Buffer.alloc(1_048_576, 0x20);
       response.on('drain', () => response.write(chunk));
@@ -153,14 +153,14 @@
   }
 }
 
-test('nobody listens: listed, exit 1', async t => {
+test('a host that refuses connections is listed, exit 1', async t => {
   const closed = await startHost(t, respondWithJson({}));
   const {errorLines, exitCode} = await run([closed.replace(/\d+$/, '1')]);
   t.is(exitCode, 1);
   t.regex(errorLines[0] ?? '', /^127\.0\.0\.1:1: connect: .*ECONNREFUSED/);
 });
 
-test('addresses without a usable port are refused', t => {
+test('addresses without a valid port are rejected', t => {
   t.like(parseAdminAddress('[::1]:80'), {host: '::1', port: 80});
   t.like(parseAdminAddress('localhost:80'), {host: 'localhost', port: 80});
   for (const text of [
--- a/test/unit/cli/trace_command.test.ts
+++ b/test/unit/cli/trace_command.test.ts
@@ -19,7 +19,7 @@
   return {code, printed};
 }
 
-test('lines of a request and of its calls are shown by time', async t => {
+test('lines of a request and of its calls are ordered by time', async t => {
   const {code, printed} = await trace('r1');
   t.is(code, 0);
   t.deepEqual(printed, [
@@ -28,7 +28,7 @@
   ]);
 });
 
-test('nothing found and unreadable files have exit codes of their own', async t => {
+test('no match and unreadable files have distinct exit codes', async t => {
   t.is((await trace('r2')).code, 1);
   const missing = await trace('r1', ['/nonexistent/log']);
   t.is(missing.code, 2);
