--- a/src/cli/console/checks_renderer.ts
+++ b/src/cli/console/checks_renderer.ts
@@ -1,5 +1,5 @@
 /**
- * What the checks say about a draft and what it does, drawn beside the forms.
+ * Renders the results of the checks and the draft summary beside the forms.
  */
 import type {DraftSummary} from './draft_summary.js';
 import type {DraftGroup} from './draft.js';
@@ -15,24 +15,24 @@
   renderServices,
 } from './summary_renderer.js';
 
-/** What is known about a draft. */
+/** Results of the checks of a draft. */
 export interface ChecksView {
   readonly draft: DraftGroup;
   readonly problems: readonly FieldProblem[];
-  /** Accepted settings to think about. */
+  /** Valid settings that may be mistakes. */
   readonly warnings: readonly FieldProblem[];
-  /** What to know about the step from the previous document. */
+  /** Warnings about the update from the previous document. */
   readonly notes: readonly string[];
-  /** Undefined while the document by itself is invalid. */
+  /** Undefined while the document itself is invalid. */
   readonly summary: DraftSummary | undefined;
-  /** Whether this very document was just saved. */
+  /** Whether this document was just saved. */
   readonly isSaved: boolean;
 }
 
-/** Problems listed; a large document can have thousands. */
+/** Limits the list, since a large document can have thousands of problems. */
 const MAX_LISTED_PROBLEMS_COUNT = 100;
 
-/** The state of the draft in a few words. */
+/** Renders the validity of the draft as a short status. */
 export function renderDraftStatus({problems, isSaved}: ChecksView): Html {
   const count = problems.length;
   if (count > 0) {
@@ -43,7 +43,7 @@
   return html`<a class="state good" href="#checks">${text}</a>`;
 }
 
-/** All parts in their order; those marked live are renewed as one types. */
+/** Renders all parts; those with `data-live` are updated during typing. */
 export function renderChecks(view: ChecksView): Html {
   const {summary} = view;
   return html`<aside id="checks" aria-label="Checks and effects">
@@ -126,7 +126,7 @@
   </li>`;
 }
 
-/** Fields, items and inner lists have ids of their own, top lists sections. */
+/** Top-level lists and groups have a section id, all others their form name. */
 function anchorOf(name: string): string {
   if (name === '') return 'section-identity';
   const member = policyFormModel.members.find(model => model.name === name);
--- a/src/cli/console/console_command.ts
+++ b/src/cli/console/console_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow console [FILE]`: forms for writing the policy document.
+ * `fulmarhollow console [FILE]`: serves forms for editing a policy document.
  */
 import type {CommandModule} from 'yargs';
 import type {ConsoleServer} from './console_server.js';
@@ -13,10 +13,10 @@
 
 /** Arguments of the command. */
 export interface ConsoleArguments {
-  /** Document to be replaced. */
+  /** Document to be replaced; undefined if there is none. */
   readonly file: string | undefined;
   readonly port: number;
-  /** File that saving writes. */
+  /** File to which documents are saved; undefined to download them. */
   readonly out: string | undefined;
 }
 
@@ -47,7 +47,9 @@
         if (Number.isInteger(port) && port >= 0 && port <= PORT_MAXIMUM) {
           return true;
         }
-        throw new Error(`--port goes from 0 to ${String(PORT_MAXIMUM)}`);
+        throw new Error(
+          `--port must be a whole number from 0 to ${String(PORT_MAXIMUM)}`,
+        );
       }),
   handler: async args => {
     const stopSignals = createSignalWatch();
@@ -60,7 +62,7 @@
   },
 };
 
-/** Serves the forms until cancelled. */
+/** Serves the forms until `signal` aborts. */
 export async function runConsole(
   args: ConsoleArguments,
   output: CommandOutput,
@@ -95,7 +97,7 @@
   });
 }
 
-/** Cancels at the signals by which a program in a terminal is stopped. */
+/** Aborts when the process receives `SIGINT` or `SIGTERM`. */
 function createSignalWatch() {
   const controller = new AbortController();
   const store = createDisposableStore();
--- a/src/cli/console/console_pages.ts
+++ b/src/cli/console/console_pages.ts
@@ -1,5 +1,5 @@
 /**
- * What the console answers to each page asked for.
+ * Handles the requests for the pages of the console.
  */
 import {readFileSync} from 'node:fs';
 import type * as http from 'node:http';
@@ -20,7 +20,7 @@
 import {renderLiveParts, renderPage} from './page_renderer.js';
 import {STYLESHEET} from './stylesheet.js';
 
-/** Answers a request that passed the guard. */
+/** Handles a request that passed the request guard. */
 export type PageHandler = (
   request: http.IncomingMessage,
   page: string,
@@ -31,7 +31,7 @@
 const METHOD_NOT_ALLOWED = 405;
 const UNPROCESSABLE = 422;
 
-/** Creates the handler of all pages. */
+/** Creates the handler for all pages. */
 export function createPageHandler(session: ConsoleSession): PageHandler {
   const script = readFileSync(new URL('live_check_client.js', import.meta.url));
   return async (request, page) => {
@@ -109,7 +109,7 @@
 function handleDownload(session: ConsoleSession): HttpResponse {
   const saved = session.saved();
   if (saved === undefined) return textResponse(NOT_FOUND, 'Nothing saved yet.');
-  // The checks allow only letters, digits and hyphens in the name.
+  // The schema allows only letters, digits and hyphens in the name.
   const fileName = `${saved.policy.deployment}-v${String(saved.version)}.json`;
   return {
     statusCode: OK,
--- a/src/cli/console/console_server.ts
+++ b/src/cli/console/console_server.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP server of the console, on the loopback interface only.
+ * HTTP server of the console; listens on the loopback interface only.
  */
 import {randomBytes} from 'node:crypto';
 import {once} from 'node:events';
@@ -22,18 +22,18 @@
 import type {Disposable} from '../../base/lifecycle.js';
 import {toDisposable} from '../../base/lifecycle.js';
 
-/** A console that listens. */
+/** A listening console. */
 export interface ConsoleServer extends Disposable {
-  /** Address with the token; whoever knows it can use the console. */
+  /** URL with the access token; anyone who has it can use the console. */
   readonly url: string;
 }
 
-/** How to serve a session. */
+/** Options of the server. */
 export interface ConsoleServerOptions {
   readonly session: ConsoleSession;
-  /** 0 for any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
-  /** Told about failures that no input explains. */
+  /** Called for internal failures, which are not caused by input. */
   readonly onFailure: (message: string) => void;
 }
 
@@ -42,7 +42,7 @@
 const MAX_CONNECTIONS_COUNT = 64;
 const REQUEST_TIMEOUT_MILLIS = 30_000;
 
-/** Starts to listen; rejects if the port is taken. */
+/** Starts the server; rejects if the port is already in use. */
 export async function createConsoleServer(
   options: ConsoleServerOptions,
 ): Promise<ConsoleServer> {
@@ -57,7 +57,7 @@
     const guard = {token, port};
     void handleRequest(request, guard, handle, options.onFailure).then(
       response => {
-        // What is left of a refused body would be read as the next request.
+        // The unread rest of a rejected body would be parsed as the next request.
         if (!request.complete) serverResponse.setHeader('connection', 'close');
         sendResponse(serverResponse, response);
       },
--- a/src/cli/console/console_session.ts
+++ b/src/cli/console/console_session.ts
@@ -1,6 +1,6 @@
 /**
- * What one run of the console remembers: the document to be replaced and the
- * one saved last. Drafts live in the pages alone.
+ * State of one run of the console: the document to be replaced and the document
+ * saved last. Drafts are kept only in the pages.
  */
 import {checkDraft, createNextDraft} from './document_builder.js';
 import type {DraftReport} from './document_builder.js';
@@ -10,34 +10,34 @@
 import type {CompiledPolicy} from '../../version/policy.js';
 import type {Problem} from '../../version/problem.js';
 
-/** What a run starts from. */
+/** Options of a session. */
 export interface ConsoleSessionOptions {
-  /** Document to be replaced; none for a first one. */
+  /** Document to be replaced; undefined if there is none. */
   readonly previous: CompiledPolicy | undefined;
-  /** File to write; without it saved documents are downloaded. */
+  /** File to write; if undefined, saved documents are downloaded. */
   readonly outputFile: string | undefined;
 }
 
-/** Outcome of a save. */
+/** Result of saving a draft. */
 export type SaveResult =
   | {readonly kind: 'saved'; readonly compiled: CompiledPolicy}
   | {readonly kind: 'refused'; readonly problems: readonly Problem[]};
 
-/** State of one run. */
+/** State of one run of the console. */
 export interface ConsoleSession {
   readonly outputFile: string | undefined;
-  /** The document that drafts are compared with. */
+  /** Document that drafts are compared with. */
   previous(): CompiledPolicy | undefined;
-  /** The document saved last, for download. */
+  /** Document saved last, for download. */
   saved(): CompiledPolicy | undefined;
-  /** What a page starts with. */
+  /** Creates the draft that a new page shows. */
   createInitialDraft(): DraftGroup;
   check(draft: DraftGroup): DraftReport;
-  /** Saves a draft without problems; from then on it is the previous one. */
+  /** Saves a draft without problems, which then becomes the previous document. */
   save(draft: DraftGroup): SaveResult;
 }
 
-/** Creates the state of a run. */
+/** Creates a session without a saved document. */
 export function createConsoleSession(
   options: ConsoleSessionOptions,
 ): ConsoleSession {
@@ -64,9 +64,9 @@
       if (fileProblem !== undefined) {
         return {kind: 'refused', problems: [fileProblem]};
       }
-      // Two documents of one version that differ would split a fleet: hosts
-      // keep the one they got first and count `digest-conflict`. The next save
-      // therefore needs a higher version.
+      // The next save needs a higher version: with two different documents of
+      // one version, each host would keep the one it received first and count
+      // `digest-conflict`, and the fleet would be inconsistent.
       previous = compiled;
       saved = compiled;
       return {kind: 'saved', compiled};
--- a/src/cli/console/document_builder.ts
+++ b/src/cli/console/document_builder.ts
@@ -1,6 +1,6 @@
 /**
- * From a draft to a document that may be saved, with everything wrong with it,
- * found by the very checks of `policy check`.
+ * Converts a draft to a document and reports its problems, with the same checks
+ * as `policy check`.
  */
 import type {DraftGroup} from './draft.js';
 import {toDocument, toDraft} from './draft.js';
@@ -12,29 +12,29 @@
 import {findPolicyWarnings} from '../../version/policy_warnings.js';
 import type {Problem} from '../../version/problem.js';
 
-/** What the checks say about a draft. */
+/** Results of the checks of a draft. */
 export interface DraftReport {
-  /** Undefined while the document by itself is invalid. */
+  /** Undefined while the document itself is invalid. */
   readonly compiled: CompiledPolicy | undefined;
-  /** Also those against the previous document; none: it may be saved. */
+  /** Includes update problems; the draft can be saved if there are none. */
   readonly problems: readonly Problem[];
-  /** Accepted settings to think about. */
+  /** Valid settings that may be mistakes. */
   readonly warnings: readonly Problem[];
-  /** What to know about the step from the previous document. */
+  /** Warnings about the update from the previous document. */
   readonly notes: readonly string[];
 }
 
-/** Writes a draft as it would be saved. */
+/** Encodes a draft as the JSON document that would be saved. */
 export function encodeDraft(draft: DraftGroup): Uint8Array {
   const document = toDocument(policyFormModel, draft);
   const encoder = new TextEncoder();
   const readable = encoder.encode(`${JSON.stringify(document, null, 2)}\n`);
   if (readable.byteLength <= MAX_DOCUMENT_BYTES) return readable;
-  // Without line breaks a large document may still fit.
+  // A large document may still fit without line breaks.
   return encoder.encode(JSON.stringify(document));
 }
 
-/** Checks a draft, also against the document it replaces. */
+/** Checks a draft, also against the document that it replaces. */
 export function checkDraft(
   draft: DraftGroup,
   previous: Policy | undefined,
@@ -56,7 +56,7 @@
   };
 }
 
-/** A draft of the version that follows a document. */
+/** Creates a draft of the next version of a document. */
 export function createNextDraft(previous: Policy): DraftGroup {
   const version = Math.min(previous.version + 1, Number.MAX_SAFE_INTEGER);
   return toDraft(policyFormModel, {...previous, version});
--- a/src/cli/console/document_file.ts
+++ b/src/cli/console/document_file.ts
@@ -1,5 +1,5 @@
 /**
- * Writing of a validated document to a file of the operator.
+ * Writes a validated document to a file.
  */
 import {existsSync, renameSync, rmSync, writeFileSync} from 'node:fs';
 import {v4 as createUuid} from 'uuid';
@@ -10,7 +10,7 @@
 import type {Problem} from '../../version/problem.js';
 import {ROOT_PATH} from '../../version/problem.js';
 
-/** Writes the document whole; returns why it was not written. */
+/** Writes the document atomically; returns the problem if it was not written. */
 export function saveDocumentFile(
   filePath: string,
   compiled: CompiledPolicy,
@@ -19,7 +19,7 @@
   if (overwriteProblem !== undefined) return overwriteProblem;
   const temporaryPath = `${filePath}.${createUuid()}.tmp`;
   try {
-    // A full disk would otherwise leave half a document under the final name.
+    // Without the temporary file, a full disk would leave a truncated document.
     writeFileSync(temporaryPath, compiled.documentBytes, {flag: 'wx'});
     renameSync(temporaryPath, filePath);
     return undefined;
@@ -32,7 +32,7 @@
   }
 }
 
-/** A mistyped name must not cost another file, nor a newer version. */
+/** Prevents a mistyped name from overwriting another file or a newer version. */
 function findOverwriteProblem(
   filePath: string,
   compiled: CompiledPolicy,
@@ -41,7 +41,7 @@
   const existing = readPolicyFile(filePath);
   if (existing.kind !== 'compiled') {
     return createFileProblem(
-      `${filePath} exists and is no usable policy document`,
+      `${filePath} exists and is not a valid policy document`,
       'a new file, or one with an older version of this policy',
     );
   }
--- a/src/cli/console/draft.ts
+++ b/src/cli/console/draft.ts
@@ -1,13 +1,13 @@
 /**
- * A document under edit: every value as the text that the operator typed, valid
- * or not, so that nothing typed is lost between two pages.
+ * A document being edited. Each value is the text that the operator typed, valid
+ * or not, so that no input is lost between two pages.
  */
 import type {FieldModel, FormModel, GroupModel} from './form_model.js';
 
 /** Any part of a draft. */
 export type DraftNode = string | DraftList | DraftGroup;
 
-/** Items in their order. */
+/** Items of a list, in order. */
 export type DraftList = readonly DraftGroup[];
 
 /** Members by name. */
@@ -15,10 +15,10 @@
   readonly [name: string]: DraftNode;
 }
 
-/** JSON grammar of a number; anything else stays text for the check to refuse. */
+/** JSON syntax of a number; other text is kept and rejected by the checks. */
 const JSON_NUMBER_PATTERN = /^-?(?:0|[1-9]\d*)(?:\.\d+)?(?:[eE][+-]?\d+)?$/;
 
-/** Turns a value of the document into text for the forms. */
+/** Converts a document, or a part of one, to text for the forms. */
 export function toDraft(model: GroupModel, value: object): DraftGroup {
   const fields = value as Readonly<Record<string, unknown>>;
   return Object.fromEntries(
@@ -43,8 +43,8 @@
 }
 
 /**
- * Turns a draft into a document, which may be invalid: empty fields are left
- * out, and text that is no value of its field stays text.
+ * Converts a draft to a document, which may be invalid: empty fields are omitted,
+ * and text that is not a valid value of its field stays text.
  */
 export function toDocument(model: GroupModel, draft: DraftGroup): object {
   return Object.fromEntries(
@@ -87,7 +87,7 @@
 
 function toNumber(text: string): number | string {
   const value = JSON_NUMBER_PATTERN.test(text) ? Number(text) : NaN;
-  // JSON has no infinity, which would turn into null.
+  // JSON has no infinity; it would be encoded as null.
   return Number.isFinite(value) ? value : text;
 }
 
--- a/src/cli/console/draft_edits.ts
+++ b/src/cli/console/draft_edits.ts
@@ -1,35 +1,35 @@
 /**
- * Adding, removing and moving of list items.
+ * Adds, removes and moves list items of a draft.
  */
 import type {DraftGroup, DraftList, DraftNode} from './draft.js';
 import {formError} from './form_fields.js';
 import {createNewItem} from './draft_templates.js';
 
-/** What a button of a list does. */
+/** Actions of the buttons of a list. */
 export type EditVerb = 'add' | 'remove' | 'up' | 'down';
 
-/** An edit and the list or item it is for. */
+/** An edit of a list or an item. */
 export interface DraftEdit {
   readonly verb: EditVerb;
-  /** Name of a list for `add`, of an item otherwise. */
+  /** Form name of a list for `add`, otherwise of an item. */
   readonly target: string;
 }
 
 const EDIT_PATTERN = /^(?<verb>add|remove|up|down) (?<target>\S+)$/;
 
-/** Value of the button that asks for an edit. */
+/** Formats an edit as the value of its button. */
 export function formatEdit({verb, target}: DraftEdit): string {
   return `${verb} ${target}`;
 }
 
-/** Reads the value of a button. */
+/** Parses the value of a button; throws for any other text. */
 export function parseEdit(action: string): DraftEdit {
   const groups = EDIT_PATTERN.exec(action)?.groups;
   if (groups === undefined) throw formError('the action is unknown');
   return {verb: groups['verb'] as EditVerb, target: groups['target'] ?? ''};
 }
 
-/** Applies one edit to a copy. */
+/** Returns a copy of the draft with the edit applied. */
 export function applyEdit(draft: DraftGroup, edit: DraftEdit): DraftGroup {
   const segments = edit.target.split('.');
   if (edit.verb === 'add') {
@@ -46,11 +46,11 @@
 
 function editItem(list: DraftList, index: number, verb: EditVerb): DraftList {
   const item = list[index];
-  if (item === undefined) throw formError('the item to edit is not there');
+  if (item === undefined) throw formError('the item to edit does not exist');
   const rest = list.filter((_, position) => position !== index);
   if (verb === 'remove') return rest;
   const shift = verb === 'up' ? -1 : 1;
-  // At either end the item stays.
+  // An item at either end stays where it is.
   return rest.toSpliced(Math.max(0, index + shift), 0, item);
 }
 
@@ -62,7 +62,7 @@
   const [segment, ...rest] = segments;
   if (segment === undefined) {
     if (isList(node)) return updateItems(node);
-    throw formError('the list to edit is not there');
+    throw formError('the list to edit does not exist');
   }
   if (isList(node)) {
     const index = Number(segment);
@@ -72,7 +72,7 @@
     );
   }
   if (typeof node !== 'object' || !Object.hasOwn(node, segment)) {
-    throw formError('the list to edit is not there');
+    throw formError('the list to edit does not exist');
   }
   return {...node, [segment]: updateList(node[segment], rest, updateItems)};
 }
@@ -83,5 +83,5 @@
 
 function checkIndex(list: DraftList, index: number): number {
   if (index in list) return index;
-  throw formError('the list to edit is not there');
+  throw formError('the list to edit does not exist');
 }
--- a/src/cli/console/draft_locations.ts
+++ b/src/cli/console/draft_locations.ts
@@ -1,10 +1,10 @@
 /**
- * Places in a draft told by the names that the operator gave.
+ * Describes locations in a draft by the names that the operator entered.
  */
 import type {DraftNode} from './draft.js';
 import {labelOf, singularOf} from './field_labels.js';
 
-/** `services.1.routes.4.path` as `Service tileyard, route 5, path`. */
+/** Formats `services.1.routes.4.path` as `Service tileyard, route 5, path`. */
 export function describeLocation(
   draft: DraftNode | undefined,
   formName: string,
@@ -29,7 +29,7 @@
   return text.charAt(0).toUpperCase() + text.slice(1);
 }
 
-/** Positions on the page count from 1. */
+/** Converts an index to the 1-based position shown on the page. */
 function ordinal(segment: string): string {
   return String(Number(segment) + 1);
 }
--- a/src/cli/console/draft_summary.ts
+++ b/src/cli/console/draft_summary.ts
@@ -1,6 +1,6 @@
 /**
- * What a draft does, as data: importance, shares of upstreams, rules of routes,
- * and each difference from the previous document in words.
+ * Summary of a draft as data: importance of classes, their share of upstreams,
+ * rules of routes, and a sentence for each change from the previous document.
  */
 import {labelOf, singularOf, unitOf} from './field_labels.js';
 import type {PolicyChange} from '../policy_changes.js';
@@ -9,41 +9,42 @@
 import {explainRoute} from '../route_explanation.js';
 import type {CompiledPolicy, Policy} from '../../version/policy.js';
 
-/** One class, the most important first. */
+/** Summary of one class. */
 export interface ClassSummary {
   readonly name: string;
   readonly reservedRatio: number;
-  /** Share of an upstream's limit that the class may use. */
+  /** Maximum share of an upstream's limit that the class may use. */
   readonly usableRatio: number;
   readonly routesCount: number;
-  /** The next less important class; undefined for the one shed first. */
+  /** The next less important class; undefined for the class shed first. */
   readonly shedAfter: string | undefined;
 }
 
-/** Slots of one upstream that each class may use, in the order of classes. */
+/** Maximum slots of one upstream for each class, in the order of classes. */
 export interface ServiceSummary {
   readonly name: string;
   readonly slotsCount: number;
   readonly usableSlotsCounts: readonly number[];
 }
 
-/** One difference as a sentence. */
+/** One change as a sentence. */
 export interface ChangeDescription {
   readonly sentence: string;
   readonly concerns: string;
 }
 
-/** Everything shown about a valid draft. */
+/** Summary of a valid draft. */
 export interface DraftSummary {
+  /** Most important class first. */
   readonly classes: readonly ClassSummary[];
   readonly services: readonly ServiceSummary[];
   readonly routes: readonly RouteExplanation[];
-  /** Undefined for a first document. */
+  /** Undefined if there is no previous document. */
   readonly previousVersion: number | undefined;
   readonly changes: readonly ChangeDescription[];
 }
 
-/** Collects what a draft does. */
+/** Summarizes a draft and its changes from the previous document. */
 export function summarizeDraft(
   compiled: CompiledPolicy,
   previous: Policy | undefined,
@@ -80,7 +81,7 @@
 ): readonly ServiceSummary[] {
   const {classes, services} = compiled.policy;
   return services.map(service => {
-    // Each route has the same slots; the schema lets no service be without.
+    // All routes have the same slots; the schema requires at least one route.
     const routes = service.routes.slice(0, 1);
     const usableSlotsCounts = classes.flatMap((_, classIndex) =>
       routes.map(
@@ -104,7 +105,7 @@
   );
 }
 
-/** Tells a difference as a sentence. */
+/** Describes a change as a sentence. */
 export function describeChange(change: PolicyChange): ChangeDescription {
   return {
     sentence: `${formatChangeSentence(change)}.`,
@@ -131,9 +132,9 @@
 }
 
 interface ChangeLocation {
-  /** The item or section, for example `route read-tile of service tileyard`. */
+  /** Item or section, for example `route read-tile of service tileyard`. */
   readonly owner: string;
-  /** Undefined if the item as a whole is new or gone. */
+  /** Undefined if the whole item was added or removed. */
   readonly fieldName: string | undefined;
   readonly schemaPath: string;
 }
@@ -145,7 +146,7 @@
   'organisations',
 ]);
 
-/** Names have no dots, so that a path of names can be split again. */
+/** Splits the path at dots, which names cannot contain. */
 function parseChangePath(path: string): ChangeLocation {
   const [section = '', name, member, itemName, itemField] = path.split('.');
   if (name === undefined) {
--- a/src/cli/console/draft_templates.ts
+++ b/src/cli/console/draft_templates.ts
@@ -1,6 +1,6 @@
 /**
- * Drafts to start from: the document of `policy new` with everything left empty
- * that only the operator can know.
+ * Templates for drafts and list items: the document of `policy new` without the
+ * values that the operator has to provide.
  */
 import type {DraftGroup} from './draft.js';
 import {toDraft} from './draft.js';
@@ -22,7 +22,7 @@
   apiKeys: [],
 };
 
-/** Words of a route that are wrong for some routes whatever is preset. */
+/** Fields without a default that is right for every item. */
 const OPERATOR_CHOSEN_FIELDS: ReadonlySet<string> = new Set([
   'name',
   'path',
@@ -31,12 +31,12 @@
   'repeat',
 ]);
 
-/** A draft of a first document. */
+/** Creates a draft for a deployment without a previous document. */
 export function createStartingDraft(): DraftGroup {
   return toDraft(policyFormModel, TEMPLATE);
 }
 
-/** A new item for the list of that form name, for example `services.0.routes`. */
+/** Creates an item for a list by form name, for example `services.0.routes`. */
 export function createNewItem(listName: string): DraftGroup {
   const segments = listName.split('.');
   const path = segments.filter(segment => !/^\d+$/.test(segment)).join('.');
@@ -78,7 +78,7 @@
     model.members.map(member => {
       const node = draft[member.name] ?? '';
       if (OPERATOR_CHOSEN_FIELDS.has(member.name)) return [member.name, ''];
-      // One empty item: a list without any would be invalid.
+      // Keeps one empty item, since an empty list would be invalid.
       if (member.kind !== 'list' || !Array.isArray(node)) {
         return [member.name, node];
       }
--- a/src/cli/console/field_guide.ts
+++ b/src/cli/console/field_guide.ts
@@ -1,13 +1,13 @@
 /**
- * Unit and effect of each policy field, as the policy reference states them; a
- * test keeps this table, the schema and the reference page alike.
+ * Unit and effect of each policy field, as in the policy reference. A test checks
+ * that this table, the schema and the reference page match.
  */
 
-/** What an operator is told about one field. */
+/** Description of one field for operators. */
 export interface FieldGuide {
-  /** Undefined for names, words and lists. */
+  /** Undefined for names, enumerations and lists. */
   readonly unit: string | undefined;
-  /** What the value does; words between back-quotes are code. */
+  /** Effect of the value; text between backquotes is code. */
   readonly effect: string;
 }
 
--- a/src/cli/console/field_guide_renderer.ts
+++ b/src/cli/console/field_guide_renderer.ts
@@ -1,12 +1,12 @@
 /**
- * A table of what the fields of a list mean, shown once beside all its items.
+ * Renders a table that describes the fields of a list, once for all its items.
  */
 import {effectOf, labelOf, unitOf} from './field_labels.js';
 import type {FieldModel, FormModel, ListModel} from './form_model.js';
 import type {Html} from './html.js';
 import {html, renderCodeSpans} from './html.js';
 
-/** Draws the guide of a list, and of the lists within it. */
+/** Renders the guide of a list and of its nested lists. */
 export function renderGuide(list: ListModel): Html {
   const fields = list.item.members.filter(isField);
   const nested = list.item.members.filter(member => member.kind === 'list');
--- a/src/cli/console/field_input_renderer.ts
+++ b/src/cli/console/field_input_renderer.ts
@@ -1,19 +1,19 @@
 /**
- * The control by which one value is entered.
+ * Renders the input control of a field.
  */
 import {labelOf} from './field_labels.js';
 import type {FieldModel} from './form_model.js';
 import type {Html} from './html.js';
 import {html, EMPTY_HTML} from './html.js';
 
-/** Id of the list of class names that route fields suggest. */
+/** Id of the `datalist` of class names that routes can refer to. */
 export const CLASS_NAMES_ID = 'class-names';
 
 const CLASS_REFERENCE_PATH = 'services[].routes[].className';
 
 const SWITCH_OPTIONS = ['true', 'false'];
 
-/** Draws the control with the text typed so far. */
+/** Renders the control with its current text. */
 export function renderInput(
   field: FieldModel,
   name: string,
@@ -51,8 +51,8 @@
     field.path === CLASS_REFERENCE_PATH
       ? html`list="${CLASS_NAMES_ID}"`
       : EMPTY_HTML;
-  // No `type=number`: browsers send nothing for text they cannot read, and
-  // the operator would not see what was refused.
+  // Not `type=number`: browsers submit an empty value for invalid text, and
+  // the operator would not see what was rejected.
   return html`<input
     type="text"
     id="${name}"
--- a/src/cli/console/field_labels.ts
+++ b/src/cli/console/field_labels.ts
@@ -1,5 +1,5 @@
 /**
- * Names and units of fields as shown to operators.
+ * Labels, units and effects of fields as shown to operators.
  */
 import {FIELD_GUIDES} from './field_guide.js';
 
@@ -9,7 +9,7 @@
   apiKeys: 'API keys',
 };
 
-/** `queueWaitMillis` as `Queue wait`; the unit is told by itself. */
+/** Converts `queueWaitMillis` to `Queue wait`; the unit is shown separately. */
 export function labelOf(fieldName: string): string {
   const special = SPECIAL_LABELS[fieldName];
   if (special !== undefined) return special;
@@ -19,18 +19,18 @@
   return words.charAt(0).toUpperCase() + words.slice(1);
 }
 
-/** One item of a list: `availabilityZones` as `availability zone`. */
+/** Converts `availabilityZones` to `availability zone`. */
 export function singularOf(listName: string): string {
   if (listName === 'classes') return 'class';
   return labelOf(listName).toLowerCase().replace(/s$/, '');
 }
 
-/** Unit of the field at a schema path; empty if it has none. */
+/** Returns the unit of the field at a schema path; empty if it has none. */
 export function unitOf(schemaPath: string): string {
   return FIELD_GUIDES[schemaPath]?.unit ?? '';
 }
 
-/** Effect of the field at a schema path. */
+/** Returns the effect of the field at a schema path. */
 export function effectOf(schemaPath: string): string {
   return FIELD_GUIDES[schemaPath]?.effect ?? '';
 }
--- a/src/cli/console/field_problems.ts
+++ b/src/cli/console/field_problems.ts
@@ -1,20 +1,20 @@
 /**
- * Assignment of problems to the form fields they are about.
+ * Maps problems of a document to the form fields that they are about.
  */
 import type {Problem} from '../../version/problem.js';
 import {ROOT_PATH} from '../../version/problem.js';
 
-/** A problem and where the form shows it. */
+/** A problem and the form field at which it is shown. */
 export interface FieldProblem {
-  /** Name of a field, an item or a list; empty for the whole document. */
+  /** Form name of a field, item or list; empty for the whole document. */
   readonly name: string;
-  /** What is there, as a sentence. */
+  /** The current value, as a sentence. */
   readonly found: string;
-  /** What would be accepted, as a phrase. */
+  /** The accepted values, as a phrase. */
   readonly allowed: string;
 }
 
-/** Messages by the name of what they are shown at. */
+/** Messages by the form name at which they are shown. */
 export type FieldMessages = ReadonlyMap<string, string>;
 
 /** Longest excerpt of a value in a message. */
@@ -22,7 +22,7 @@
 
 const EMPTY_FIELD_MESSAGE = 'Nothing entered.';
 
-/** Translates problems of the document into problems of the form. */
+/** Converts problems of the document to problems of form fields. */
 export function toFieldProblems(
   problems: readonly Problem[],
 ): readonly FieldProblem[] {
@@ -34,8 +34,8 @@
 }
 
 /**
- * Joins the messages of each place. One about an empty field is kept short, as
- * what is allowed stands in the guide and would crowd a row of empty fields.
+ * Joins the messages of each field. The message for an empty field omits the
+ * allowed values, which are in the guide and would clutter rows of empty fields.
  */
 export function groupMessages(
   problems: readonly FieldProblem[],
@@ -50,7 +50,7 @@
   return messages;
 }
 
-/** `$.services[0].name` as `services.0.name`. */
+/** Converts `$.services[0].name` to `services.0.name`. */
 function toFormName(path: string): string {
   return path
     .slice(ROOT_PATH.length)
--- a/src/cli/console/form_body.ts
+++ b/src/cli/console/form_body.ts
@@ -1,16 +1,20 @@
 /**
- * Reading of submitted forms from requests, within bounds.
+ * Reads submitted forms from requests, up to a maximum size.
  */
 import type * as http from 'node:http';
 import {formError} from './form_fields.js';
 import {CapacityError, TransportError} from '../../base/errors.js';
 
-/** The largest document as a form takes less than this. */
+/** Exceeds the size of the largest document encoded as a form. */
 export const MAX_FORM_BYTES = 4_194_304;
 
 const FORM_TYPE = 'application/x-www-form-urlencoded';
 
-/** Reads all fields; rejects with what is wrong with the form. */
+/**
+ * Reads all fields. Rejects with `InvalidInputError` for another type or
+ * encoding, `CapacityError` for a form that is too large and `TransportError`
+ * for one that is incomplete.
+ */
 export async function readFormBody(
   request: http.IncomingMessage,
 ): Promise<URLSearchParams> {
@@ -29,25 +33,25 @@
   try {
     for await (const chunk of request as AsyncIterable<Buffer>) {
       sizeBytes += chunk.byteLength;
-      // Read on without keeping: a browser that finds the connection closed
-      // while it still sends shows its own error instead of the answer.
+      // Reads and discards the rest: if the connection is closed while the
+      // browser sends, it shows its own error instead of the response.
       if (sizeBytes <= MAX_FORM_BYTES) chunks.push(chunk);
     }
   } catch (cause) {
-    throw new TransportError('The form broke off:', {cause, props});
+    throw new TransportError('The form is incomplete:', {cause, props});
   }
   if (sizeBytes <= MAX_FORM_BYTES) return Buffer.concat(chunks);
   const message = `The form is larger than ${String(MAX_FORM_BYTES)} bytes.`;
   throw new CapacityError(message, {props});
 }
 
-/** Form encoding is plain ASCII, within which UTF-8 is escaped byte by byte. */
+/** Form encoding is ASCII with percent-encoded UTF-8; throws if it is invalid. */
 function decodeText(bytes: Buffer): string {
   const text = bytes.toString('latin1');
   try {
     decodeURIComponent(text.replaceAll('+', ' '));
   } catch {
-    throw formError('its encoding is broken');
+    throw formError('its encoding is invalid');
   }
   return text;
 }
--- a/src/cli/console/form_fields.ts
+++ b/src/cli/console/form_fields.ts
@@ -1,33 +1,33 @@
 /**
- * Reading of submitted form fields into a draft. Names are paths with dots, for
- * example `services.0.name`; `services.count` tells how many items there are.
+ * Parses submitted form fields into a draft. Names are dotted paths, for example
+ * `services.0.name`; `services.count` is the number of items.
  */
 import type {DraftGroup, DraftNode} from './draft.js';
 import type {FormModel, GroupModel, ListModel} from './form_model.js';
 import {InvalidInputError} from '../../base/errors.js';
 
-/** Field that holds what the operator asked for, besides those of the draft. */
+/** Field with the requested action; not part of the draft. */
 export const ACTION_FIELD = 'action';
 
-/** Suffix of the field that tells the length of a list. */
+/** Suffix of the field with the number of items in a list. */
 export const COUNT_SUFFIX = 'count';
 
-/** Name of a member or item. */
+/** Joins the form name of a parent and a member name or item index. */
 export function joinName(parent: string, name: string | number): string {
   return parent === '' ? String(name) : `${parent}.${String(name)}`;
 }
 
-/** What a form sent. */
+/** Content of a submitted form. */
 export interface FormSubmission {
   readonly draft: DraftGroup;
-  /** Empty if the form was sent without a button. */
+  /** Empty if the form was submitted without an edit button. */
   readonly action: string;
 }
 
 /**
- * Reads a form as a whole. A form that lacks fields, as one that was cut off,
- * would make a document without some rules, and one with other fields was
- * written for another version of the program; both are refused.
+ * Parses a complete form; throws `InvalidInputError` for missing, duplicate or
+ * unknown fields. A truncated form would yield a document without some rules, and
+ * unknown fields come from another version of the program.
  */
 export function readSubmission(
   model: GroupModel,
@@ -35,7 +35,7 @@
 ): FormSubmission {
   const remaining = new Map<string, string>();
   for (const [name, text] of fields) {
-    if (remaining.has(name)) throw formError(`field ${name} is there twice`);
+    if (remaining.has(name)) throw formError(`field ${name} is duplicated`);
     remaining.set(name, text);
   }
   const action = remaining.get(ACTION_FIELD) ?? '';
@@ -46,7 +46,7 @@
   throw formError(`field ${unknownName} is unknown`);
 }
 
-/** The error for a form that no page of the console sends. */
+/** Creates the error for a form that no page of the console sends. */
 export function formError(reason: string) {
   const message = `The form is malformed: ${reason}.`;
   return new InvalidInputError(message, {props: {step: 'read-form'}});
@@ -89,9 +89,9 @@
 ): readonly DraftGroup[] {
   const countName = joinName(name, COUNT_SUFFIX);
   const countText = takeText(countName, remaining);
-  if (!/^\d{1,6}$/.test(countText)) throw formError(`${countName} is no count`);
+  if (!/^\d{1,6}$/.test(countText)) throw formError(`${countName} is invalid`);
   const items: DraftGroup[] = [];
-  // Stops at the first item that is missing, however large the count is.
+  // A missing item throws, so an excessive count does not cause a long loop.
   for (let index = 0; index < Number(countText); index += 1) {
     items.push(takeGroup(model.item, joinName(name, index), remaining));
   }
--- a/src/cli/console/form_model.ts
+++ b/src/cli/console/form_model.ts
@@ -1,32 +1,32 @@
 /**
- * The fields of a document as forms need them, derived from its schema, so that
- * the forms cannot offer what the schema refuses to know.
+ * Model of the forms, derived from the schema of the policy document so that the
+ * forms have exactly the fields that the schema accepts.
  */
 import type * as SchemaAST from 'effect/SchemaAST';
 import {InvalidInputError} from '../../base/errors.js';
 import {policySchema} from '../../version/policy_schema.js';
 
-/** How a value is entered. */
+/** Kind of input control for a value. */
 export type FieldInput =
   | {readonly kind: 'text'}
   | {readonly kind: 'number'}
   | {readonly kind: 'choice'; readonly options: readonly string[]}
   | {readonly kind: 'switch'}
-  /** The only value there is. */
+  /** A field with only one valid value. */
   | {readonly kind: 'fixed'; readonly value: number | string};
 
-/** One value. */
+/** A field with one value. */
 export interface FieldModel {
   readonly kind: 'field';
   readonly name: string;
   /** Path in the schema, for example `services[].name`. */
   readonly path: string;
   readonly input: FieldInput;
-  /** What is accepted, as a phrase; the one that problems use. */
+  /** Accepted values, as the phrase that problems use. */
   readonly allowed: string;
 }
 
-/** Members that belong together. */
+/** A group of members. */
 export interface GroupModel {
   readonly kind: 'group';
   readonly name: string;
@@ -34,7 +34,7 @@
   readonly members: readonly FormModel[];
 }
 
-/** Items of one shape, in an order the operator chooses. */
+/** A list of items of the same shape, ordered by the operator. */
 export interface ListModel {
   readonly kind: 'list';
   readonly name: string;
@@ -43,10 +43,10 @@
   readonly item: GroupModel;
 }
 
-/** Any part of a document. */
+/** Model of any part of a document. */
 export type FormModel = FieldModel | GroupModel | ListModel;
 
-/** Fields of the policy document. */
+/** Model of the whole policy document. */
 export const policyFormModel: GroupModel = deriveGroup(
   policySchema.ast,
   '',
@@ -126,7 +126,7 @@
   throw schemaError(path, 'undescribed field');
 }
 
-/** A schema that grows a new kind of field fails at once instead of losing it. */
+/** Fails at startup for an unsupported kind of field, rather than omitting it. */
 function schemaError(path: string, found = 'nothing') {
   const message = `The forms have no input for ${found} at ${path}.`;
   return new InvalidInputError(message, {props: {step: 'form-model'}});
--- a/src/cli/console/form_renderer.ts
+++ b/src/cli/console/form_renderer.ts
@@ -1,5 +1,5 @@
 /**
- * Forms for a draft, section by section.
+ * Renders the forms for a draft.
  */
 import type {DraftGroup, DraftList, DraftNode} from './draft.js';
 import {formatEdit} from './draft_edits.js';
@@ -18,7 +18,7 @@
 import type {Html} from './html.js';
 import {html, EMPTY_HTML, renderCodeSpans} from './html.js';
 
-/** Draws the whole draft. */
+/** Renders the forms for the whole draft. */
 export function renderForm(
   model: GroupModel,
   draft: DraftGroup,
@@ -132,7 +132,7 @@
     </p>`;
 }
 
-/** Items with lists of their own, and links to each, as they are long. */
+/** Renders items that contain lists, with links to each since they are long. */
 function renderCards(
   model: ListModel,
   name: string,
@@ -269,7 +269,7 @@
   ${renderButton('remove', name, '\u2715', `Remove ${itemTitle}`)}`;
 }
 
-/** The answer opens at the section, so that the operator keeps the place. */
+/** The response page opens at the edited section or item. */
 function renderButton(
   verb: EditVerb,
   target: string,
@@ -290,7 +290,7 @@
 
 function anchorAfterEdit(verb: EditVerb, target: string): string {
   const segments = target.split('.');
-  // The last item of a list is gone from the page once it is removed.
+  // After a removal the page has no element for the last item of the list.
   const kept = verb === 'remove' ? segments.slice(0, -1) : segments;
   return kept.length === 1 ? `section-${String(kept[0])}` : kept.join('.');
 }
--- a/src/cli/console/html.ts
+++ b/src/cli/console/html.ts
@@ -1,13 +1,13 @@
 /**
- * HTML in which every inserted value is escaped, whoever wrote it.
+ * HTML templates that escape every inserted value.
  */
 
-/** Markup that is safe to send; only `html` creates it. */
+/** Escaped markup; created only by `html`. */
 export interface Html {
   readonly markup: string;
 }
 
-/** What may be inserted; text is escaped. */
+/** Value that can be inserted; text is escaped. */
 export type HtmlPart = Html | string | number | readonly HtmlPart[];
 
 const ENTITIES: Readonly<Record<string, string>> = {
@@ -19,8 +19,8 @@
 };
 
 /**
- * Template tag. A value may stand between tags or inside a quoted attribute
- * value, where the escapes hold.
+ * Template tag. Values are allowed only between tags and inside quoted attribute
+ * values, where the escaping is sufficient.
  */
 export function html(
   literals: TemplateStringsArray,
@@ -34,12 +34,11 @@
   return {markup: first + tail.join('')};
 }
 
-/** The indentation of this source would make up much of a large page. */
+/** Removes source indentation, which would be much of the size of a large page. */
 function dropIndentation(literal: string): string {
   return literal.replace(/\n\s+/g, '\n');
 }
 
-/** Nothing. */
 export const EMPTY_HTML: Html = {markup: ''};
 
 function render(part: HtmlPart): string {
@@ -57,7 +56,7 @@
   return text.replace(/[&<>"']/g, character => ENTITIES[character] ?? '');
 }
 
-/** Text in which words between back-quotes are shown as code. */
+/** Renders text between backquotes as code. */
 export function renderCodeSpans(text: string): readonly Html[] {
   return text
     .split('`')
--- a/src/cli/console/http_response.ts
+++ b/src/cli/console/http_response.ts
@@ -1,22 +1,22 @@
 /**
- * Answers of the console and the headers that keep other pages out.
+ * Responses of the console and their security headers.
  */
 import type * as http from 'node:http';
 import type {Html} from './html.js';
 
-/** One complete answer. */
+/** A complete response. */
 export interface HttpResponse {
   readonly statusCode: number;
   readonly contentType: string;
   readonly body: string | Uint8Array;
-  /** Offers the body as a file of this name instead of showing it. */
+  /** Sends the body as a download with this file name. */
   readonly fileName?: string;
 }
 
 /**
- * No script or style within a page is run, so that text of a document that got
- * past the escapes would still do nothing; nothing may frame the pages, and no
- * form can send what was entered elsewhere.
+ * Inline scripts and styles are blocked, so that document text that bypassed the
+ * escaping has no effect. Framing is forbidden, and forms can be submitted only
+ * to the console.
  */
 const CONTENT_SECURITY_POLICY = [
   "default-src 'none'",
@@ -29,30 +29,30 @@
   "frame-ancestors 'none'",
 ].join('; ');
 
-/** On every answer. */
+/** Headers of every response. */
 const COMMON_HEADERS = {
   'content-security-policy': CONTENT_SECURITY_POLICY,
   'x-content-type-options': 'nosniff',
   'x-frame-options': 'DENY',
   'cross-origin-resource-policy': 'same-origin',
   'cross-origin-opener-policy': 'same-origin',
-  // The address holds the token and must not reach other sites.
+  // The URL contains the access token and must not be sent to other sites.
   'referrer-policy': 'same-origin',
   'cache-control': 'no-store',
 } as const;
 
-/** A page. */
+/** Creates a response with an HTML page. */
 export function pageResponse(statusCode: number, page: Html): HttpResponse {
   const contentType = 'text/html; charset=utf-8';
   return {statusCode, contentType, body: page.markup};
 }
 
-/** Text without markup. */
+/** Creates a plain text response. */
 export function textResponse(statusCode: number, body: string): HttpResponse {
   return {statusCode, contentType: 'text/plain; charset=utf-8', body};
 }
 
-/** Sends an answer whole. */
+/** Sends a response and ends it. */
 export function sendResponse(
   serverResponse: http.ServerResponse,
   response: HttpResponse,
--- a/src/cli/console/live_check_client.ts
+++ b/src/cli/console/live_check_client.ts
@@ -1,10 +1,10 @@
 /**
- * Runs in the browser: checks the forms on the server while the operator types.
- * Without it the button `Check` does the same. Nothing is decided here, and all
- * markup comes from the server, which escapes it.
+ * Browser script that has the server check the forms while the operator types.
+ * Without it, the button `Check` does the same. It contains no checks of its own,
+ * and all markup comes from the server, which escapes it.
  */
 
-/** The few parts of the browser's interface that are used. */
+/** The subset of the DOM that is used. */
 interface PageElement {
   readonly id: string;
   readonly dataset: Readonly<Record<string, string | undefined>>;
@@ -53,7 +53,7 @@
   formElement.addEventListener('input', () => {
     clearTimeout(timer);
     timer = setTimeout(() => {
-      // An older answer that arrives late would hide the newer one.
+      // A late response to an older check would replace the newer result.
       running?.abort();
       running = new AbortController();
       void checkForm(formElement, running.signal);
@@ -61,7 +61,7 @@
   });
 }
 
-/** Drafts live in the page alone; closing it by mistake would lose one. */
+/** Drafts exist only in the page; closing it by mistake would lose the draft. */
 function warnBeforeUnload(formElement: PageElement): void {
   let isChanged = formElement.dataset['changed'] === 'true';
   formElement.addEventListener('input', () => {
@@ -107,7 +107,7 @@
   for (const messageElement of page.querySelectorAll('[data-problem-of]')) {
     const name = messageElement.dataset['problemOf'] ?? '';
     const message = messages.get(name) ?? '';
-    // Most places stay as they are, and each change costs a layout.
+    // Most messages do not change, and each change triggers a layout.
     if (messageElement.textContent === message) continue;
     messageElement.textContent = message;
     const input = page.getElementById(name);
--- a/src/cli/console/page_renderer.ts
+++ b/src/cli/console/page_renderer.ts
@@ -1,5 +1,5 @@
 /**
- * The pages of the console.
+ * Renders the pages of the console.
  */
 import type {ChecksView} from './checks_renderer.js';
 import {renderChecks, renderDraftStatus} from './checks_renderer.js';
@@ -12,25 +12,25 @@
 import type {Html} from './html.js';
 import {html, EMPTY_HTML} from './html.js';
 
-/** A document that was just saved. */
+/** Notice about a document that was just saved. */
 export interface SavedNotice {
   readonly deployment: string;
   readonly version: number;
   readonly digest: string;
-  /** File it was written to; undefined if it is to be downloaded. */
+  /** File that was written; undefined if the document is downloaded. */
   readonly file: string | undefined;
 }
 
-/** Everything a page shows. */
+/** Data of a page. */
 export interface PageView extends ChecksView {
   readonly saved: SavedNotice | undefined;
-  /** File that saving writes; undefined if documents are downloaded. */
+  /** File to which documents are saved; undefined to download them. */
   readonly outputFile: string | undefined;
-  /** Whether closing the page would lose something. */
+  /** Whether the page has unsaved changes. */
   readonly isChanged: boolean;
 }
 
-/** The page with all forms. */
+/** Renders the page with all forms. */
 export function renderPage(view: PageView): Html {
   const title = `Policy of ${String(view.draft['deployment'] || 'a new deployment')}`;
   return renderDocument(
@@ -72,7 +72,7 @@
   );
 }
 
-/** The parts of a page that change while the operator types. */
+/** Renders the parts of a page that are updated while the operator types. */
 export function renderLiveParts(view: PageView): Html {
   return renderDocument(
     'Check',
@@ -86,7 +86,7 @@
   );
 }
 
-/** A page for a request that cannot be served. */
+/** Renders an error page. */
 export function renderErrorPage(title: string, message: string): Html {
   return renderDocument(
     title,
@@ -148,7 +148,7 @@
   </nav>`;
 }
 
-/** Suggestions for the class of a route. */
+/** Renders the suggestions for the class of a route. */
 function renderClassNames(draft: DraftGroup): Html {
   const classes = draft['classes'];
   const items = typeof classes === 'object' ? Object.values(classes) : [];
--- a/src/cli/console/request_guard.ts
+++ b/src/cli/console/request_guard.ts
@@ -1,15 +1,15 @@
 /**
- * Who may use the console: only the pages it served itself, opened by the
- * address that it printed.
+ * Restricts the console to requests with its access token that come from its own
+ * pages.
  */
 import {createHash, timingSafeEqual} from 'node:crypto';
 import type * as http from 'node:http';
 
-/** A request that passed, or the status it is refused with. */
+/** An accepted request, or the response to a rejected one. */
 export type GuardResult =
   | {
       readonly kind: 'passed';
-      /** Page asked for, without the token; empty for the start page. */
+      /** Requested page, without the token; empty for the start page. */
       readonly page: string;
     }
   | {
@@ -18,7 +18,7 @@
       readonly message: string;
     };
 
-/** What requests are held against. */
+/** Expected token and port. */
 export interface GuardOptions {
   readonly token: string;
   readonly port: number;
@@ -32,8 +32,8 @@
   const hosts = ['127.0.0.1', 'localhost'].map(
     name => `${name}:${String(port)}`,
   );
-  // A page elsewhere can have its own name resolve to 127.0.0.1 and then read
-  // the answers as its own; its name still stands in the header.
+  // Prevents DNS rebinding: another site can resolve its own name to 127.0.0.1
+  // and read the responses, but the header contains that name.
   if (!hosts.includes(request.headers.host ?? '')) {
     return refuse(403, 'Not a host name of this console.');
   }
@@ -48,7 +48,7 @@
   return {kind: 'passed', page: rest[0] ?? ''};
 }
 
-/** Browsers tell where a form comes from; other clients send neither header. */
+/** Checks the headers that browsers send with forms; other clients send none. */
 function isSameOrigin(
   headers: http.IncomingHttpHeaders,
   hosts: readonly string[],
@@ -60,7 +60,7 @@
   return hosts.some(host => origin === `http://${host}`);
 }
 
-/** Takes the same time whatever differs, so that a token cannot be searched. */
+/** Compares in constant time, so that response times reveal no part of a token. */
 function isEqualInConstantTime(a: string, b: string): boolean {
   return timingSafeEqual(digest(a), digest(b));
 }
--- a/src/cli/console/stylesheet.ts
+++ b/src/cli/console/stylesheet.ts
@@ -1,8 +1,7 @@
 /**
- * Style of the console's pages.
+ * Style sheet of the console.
  */
 
-/** The whole style sheet. */
 export const STYLESHEET = `
 :root {
   color-scheme: light;
--- a/src/cli/console/summary_renderer.ts
+++ b/src/cli/console/summary_renderer.ts
@@ -1,5 +1,5 @@
 /**
- * What a draft does, drawn beside its forms.
+ * Renders the draft summary beside the forms.
  */
 import type {
   DraftSummary,
@@ -13,7 +13,7 @@
 
 const INVALID_NOTE = 'Shown once each field is valid.';
 
-/** Each difference from the previous document. */
+/** Renders the changes from the previous document. */
 export function renderChanges(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   const {previousVersion, changes} = summary;
@@ -33,7 +33,7 @@
     </ul>`;
 }
 
-/** The classes in their order, with their reserves. */
+/** Renders the classes with their reserves, in order of importance. */
 export function renderClasses(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   return html`<table class="figures">
@@ -68,7 +68,7 @@
   return shedAfter === undefined ? 'shed first' : `shed after ${shedAfter}`;
 }
 
-/** How many slots of an upstream each class may use. */
+/** Renders the number of slots of an upstream that each class may use. */
 export function renderServices(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   return html`<p class="help">
@@ -102,7 +102,7 @@
   </tr>`;
 }
 
-/** The rules of each route, as `policy explain` tells them. */
+/** Renders the rules of each route, as in `policy explain`. */
 export function renderRoutes(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   return html`${summary.routes.map(renderRoute)}`;
@@ -128,7 +128,7 @@
   return html`<p class="help">${text}</p>`;
 }
 
-/** Two decimals of a per cent are more than limits of 100,000 need. */
+/** Two decimals of a percentage are sufficient for limits of up to 100,000. */
 function formatPercent(ratio: number): string {
   return `${String(Math.round(ratio * 10_000) / 100)}%`;
 }
--- a/test/contract/operator_console.test.ts
+++ b/test/contract/operator_console.test.ts
@@ -1,6 +1,6 @@
 /**
- * Contract between operators' browsers and the console: only its own pages are
- * listened to, and only a valid document ever leaves it.
+ * Contract between operators' browsers and the console: it accepts requests only
+ * from its own pages and saves only valid documents.
  */
 import {existsSync, readFileSync} from 'node:fs';
 import * as http from 'node:http';
@@ -82,11 +82,11 @@
 interface Fault {
   readonly name: string;
   readonly statusCode: number;
-  /** Makes a save that fails from one that would succeed. */
+  /** Turns a valid save request into one that fails. */
   readonly change: (fields: URLSearchParams, port: string) => PageRequest;
 }
 
-/** A save with one deviation in its fields. */
+/** A save request with changed fields. */
 function withFields(
   change: (fields: URLSearchParams) => void,
 ): Fault['change'] {
@@ -117,7 +117,7 @@
     change: fields => ({token: 'A'.repeat(43), body: fields.toString()}),
   },
   {
-    name: 'a host name that another page made resolve to loopback',
+    name: 'a host name of another site that resolves to loopback (DNS rebinding)',
     statusCode: 403,
     change: withHeaders(port => ({host: `console.example:${port}`})),
   },
@@ -168,12 +168,12 @@
   },
   {name: 'an empty form', statusCode: 400, change: () => ({body: ''})},
   {
-    name: 'a broken encoding',
+    name: 'an invalid encoding',
     statusCode: 400,
     change: fields => ({body: `${fields.toString()}&action=%ff`}),
   },
   {
-    name: 'a form that was cut off',
+    name: 'a truncated form',
     statusCode: 400,
     change: fields => ({body: fields.toString().slice(0, -200)}),
   },
@@ -188,7 +188,7 @@
     change: withFields(fields => fields.append('__proto__.version', '1')),
   },
   {
-    name: 'a field that is there twice',
+    name: 'a duplicate field',
     statusCode: 400,
     change: withFields(fields => fields.append('version', '7')),
   },
@@ -208,7 +208,7 @@
     change: withFields(fields => fields.set('timing.drainMillis', '1 s')),
   },
   {
-    name: 'values that do not fit together',
+    name: 'inconsistent values',
     statusCode: 422,
     change: withFields(fields =>
       fields.set('services.0.connectionsCount', '1'),
@@ -242,7 +242,7 @@
   });
 }
 
-test('what is saved is the document of the forms, once per version', async t => {
+test('the document of the forms is saved, once per version', async t => {
   const {url, send, outputFile, fields} = await startConsole(t);
   fields.set('timing.drainMillis', '12345');
   const headers = {
@@ -267,7 +267,7 @@
 });
 
 const existingFiles: readonly (readonly [name: string, content: string])[] = [
-  ['is no policy document', 'notes of the operator'],
+  ['is not a policy document', 'notes of the operator'],
   ['holds a newer version', new TextDecoder().decode(createPolicyBytes(9))],
   [
     'holds another deployment',
@@ -288,7 +288,7 @@
   });
 }
 
-test('problems are shown beside their fields, with what was typed', async t => {
+test('problems are shown beside their fields, with the typed text', async t => {
   const {send, fields} = await startConsole(t);
   fields.set('timing.drainMillis', '"><script>alert(1)</script>');
   fields.set('services.0.routes.0.path', '');
@@ -325,7 +325,7 @@
   t.false(existsSync(outputFile));
 });
 
-test('every answer forbids foreign scripts, frames and forms', async t => {
+test('every response forbids foreign scripts, frames and forms', async t => {
   const {send, fields} = await startConsole(t);
   const requests: readonly PageRequest[] = [
     {},
@@ -349,7 +349,7 @@
   }
 });
 
-test('it listens on loopback only, under a new address each time', async t => {
+test('it listens on loopback only, with a new URL each time', async t => {
   const first = await startConsole(t);
   const second = await startConsole(t);
   t.is(first.url.hostname, '127.0.0.1');
@@ -357,7 +357,7 @@
   t.true(first.url.pathname.length > 40);
 });
 
-test('a port that is taken is told', async t => {
+test('a port in use is reported', async t => {
   const {url} = await startConsole(t);
   const session = createConsoleSession({
     previous: undefined,
--- a/test/fakes/console_page.ts
+++ b/test/fakes/console_page.ts
@@ -1,5 +1,5 @@
 /**
- * What a browser would send from a page of the console.
+ * Reads pages of the console as a browser would.
  */
 
 const CONTROL_PATTERN = /<input([^>]*)>|<select([^>]*)>([\s\S]*?)<\/select>/g;
@@ -11,7 +11,7 @@
   '#39': "'",
 };
 
-/** Reads all named controls of a page with their values. */
+/** Returns the names and values of all controls of a page. */
 export function readFields(page: string): URLSearchParams {
   const fields = new URLSearchParams();
   for (const [, input, select = '', options = ''] of page.matchAll(
@@ -28,7 +28,7 @@
   return fields;
 }
 
-/** Names and messages of the problems shown beside fields. */
+/** Returns the problems shown beside fields, by form name. */
 export function readProblems(page: string): ReadonlyMap<string, string> {
   const places = page.matchAll(/data-problem-of="([^"]*)">([^<]+)</g);
   return new Map(
@@ -36,7 +36,7 @@
   );
 }
 
-/** Text as it was before it was escaped. */
+/** Reverses the escaping of text. */
 export function unescapeText(markup: string): string {
   return markup.replace(
     /&(amp|lt|gt|quot|#39);/g,
--- a/test/unit/cli/console/console_command.test.ts
+++ b/test/unit/cli/console/console_command.test.ts
@@ -1,5 +1,5 @@
 /**
- * The command from its start to its stop.
+ * Start and stop of the console command.
  */
 import test from 'ava';
 import {EXIT} from '../../../../src/cli/command_output.js';
@@ -10,7 +10,7 @@
 
 const ANY_PORT = {port: 0, out: undefined};
 
-test('it tells its address, serves until cancelled and then listens no more', async t => {
+test('it prints its URL, serves until cancelled and then stops listening', async t => {
   const output = createRecordedOutput();
   const controller = new AbortController();
   const file = createFileWriter(t)('policy.json', createPolicyBytes(5));
@@ -26,7 +26,7 @@
   await t.throwsAsync(fetch(url ?? ''));
 });
 
-test('it does not start from a document that is unreadable or invalid', async t => {
+test('it does not start with an unreadable or invalid document', async t => {
   const file = createFileWriter(t)('policy.json', createPolicyBytes(0));
   const output = createRecordedOutput();
   const {signal} = new AbortController();
--- a/test/unit/cli/console/document_builder.test.ts
+++ b/test/unit/cli/console/document_builder.test.ts
@@ -1,5 +1,5 @@
 /**
- * From a document through the forms of a page to a document.
+ * Conversion of a document to forms and back to a document.
  */
 import {readFileSync} from 'node:fs';
 import test from 'ava';
@@ -26,7 +26,7 @@
 const EXAMPLES_URL = new URL('../../../../../examples/', import.meta.url);
 const BASE = compileOrThrow(createPolicyBytes(5)).policy;
 
-/** Draws the forms and reads them as a browser would send them. */
+/** Renders the forms and parses their fields as a browser would submit them. */
 function submitThroughForm(draft: DraftGroup): DraftGroup {
   const page = renderForm(policyFormModel, draft, new Map()).markup;
   return readSubmission(policyFormModel, readFields(page)).draft;
@@ -37,7 +37,7 @@
 }
 
 for (const name of ['ilorin', 'tunis']) {
-  test(`${name} passes through the forms unchanged but for its version`, t => {
+  test(`${name} is unchanged by the forms except for its version`, t => {
     const bytes = readFileSync(new URL(`${name}.json`, EXAMPLES_URL));
     const {policy} = compileOrThrow(bytes);
     const next = createNextDraft(policy);
@@ -51,7 +51,7 @@
   });
 }
 
-test('whatever is typed stays as it is, valid or not', t => {
+test('typed text is preserved, valid or not', t => {
   const text = fc.string({unit: 'grapheme'});
   const property = fc.property(text, text, (name, path) => {
     const [service] = createNextDraft(BASE)['services'] as DraftGroup[];
@@ -64,7 +64,7 @@
   fc.assert(property, {numRuns: 50});
 });
 
-/** What stands in the document for a text typed as `version`. */
+/** Values in the document for text typed as `version`. */
 const numbers: readonly (readonly [text: string, value: unknown])[] = [
   ['12', 12],
   [' 12 ', 12],
@@ -92,7 +92,7 @@
   });
 }
 
-test('a first document needs exactly what only the operator knows', t => {
+test('a first document lacks exactly the values that the operator provides', t => {
   const {problems, compiled} = checkDraft(createStartingDraft(), undefined);
   t.is(compiled, undefined);
   t.deepEqual(
@@ -105,7 +105,7 @@
   );
 });
 
-test('a document that replaces one needs a higher version and its name', t => {
+test('an update needs a higher version and the same deployment', t => {
   const draft = {...createNextDraft(BASE), version: '5', deployment: 'other'};
   const {problems} = checkDraft(draft, BASE);
   t.deepEqual(
@@ -114,7 +114,7 @@
   );
 });
 
-test('a version is saved once, and a draft with problems never', t => {
+test('a version is saved once, and a draft with problems is not saved', t => {
   const session = createConsoleSession({
     previous: compileOrThrow(createPolicyBytes(5)),
     outputFile: undefined,
@@ -128,7 +128,7 @@
   t.is(session.createInitialDraft()['version'], '7');
 });
 
-test('a document too large with line breaks is written without them', t => {
+test('a document that is too large with line breaks is written without them', t => {
   const [service] = BASE.services;
   const routes = Array.from({length: 500}, (_, index) => ({
     ...service!.routes[0]!,
--- a/test/unit/cli/console/draft_edits.test.ts
+++ b/test/unit/cli/console/draft_edits.test.ts
@@ -29,7 +29,7 @@
   ];
 
 for (const [action, names] of edits) {
-  test(`${action} changes the order and nothing else`, t => {
+  test(`${action} changes only the list`, t => {
     const edited = applyEdit(DRAFT, parseEdit(action));
     t.deepEqual(namesOf(edited, 'classes'), names);
     t.deepEqual({...edited, classes: []}, {...DRAFT, classes: []});
@@ -37,7 +37,7 @@
   });
 }
 
-test('a new route presets neither its importance nor its repeats', t => {
+test('a new route has no default class or retry rule', t => {
   const edited = applyEdit(DRAFT, parseEdit('add services.0.routes'));
   const [service] = edited['services'] as readonly DraftGroup[];
   const route = (service!['routes'] as readonly DraftGroup[]).at(-1)!;
@@ -45,7 +45,7 @@
   t.deepEqual(empty, ['name', 'method', 'path', 'className', 'repeat']);
 });
 
-test('a new service has one route to fill in', t => {
+test('a new service has one empty route', t => {
   const edited = applyEdit(DRAFT, parseEdit('add services'));
   const {length} = edited['services'] as readonly DraftGroup[];
   t.deepEqual(namesOf(edited, 'services', String(length - 1), 'routes'), ['']);
@@ -67,7 +67,7 @@
 ];
 
 for (const action of faults) {
-  test(`refused: ${action}`, t => {
+  test(`rejected: ${action}`, t => {
     t.throws(() => applyEdit(DRAFT, parseEdit(action)), {
       message: /^The form is malformed: /,
     });
--- a/test/unit/cli/console/draft_summary.test.ts
+++ b/test/unit/cli/console/draft_summary.test.ts
@@ -65,13 +65,13 @@
 ];
 
 for (const {change, sentences} of changes) {
-  test(`told in words: ${sentences.join(' ') || 'no change'}`, t => {
+  test(`described as: ${sentences.join(' ') || 'no change'}`, t => {
     const found = summarize(change).changes.map(({sentence}) => sentence);
     t.deepEqual(found, ['Version: up from 5 to 6.', ...sentences]);
   });
 }
 
-test('a class may use what the classes above it do not reserve', t => {
+test('a class may use what more important classes do not reserve', t => {
   const {classes, services} = summarize(draft => {
     draft.classes[0]!.reservedRatio = 0.25;
     draft.classes[1]!.reservedRatio = 0.25;
@@ -88,7 +88,7 @@
   t.is(classes[0]?.name, FIRST!.name);
 });
 
-test('a first document is compared with nothing', t => {
+test('a first document has no changes', t => {
   const summary = summarizeDraft(
     compileOrThrow(createPolicyBytes(1)),
     undefined,
--- a/test/unit/cli/console/form_model.test.ts
+++ b/test/unit/cli/console/form_model.test.ts
@@ -1,5 +1,5 @@
 /**
- * The forms, the policy reference and the schema tell the same about each field.
+ * The forms, the policy reference and the schema describe each field alike.
  */
 import {readFileSync} from 'node:fs';
 import test from 'ava';
@@ -25,7 +25,7 @@
   }
 }
 
-/** Cells of the rows `| field | unit | allowed | policy new | effect |`. */
+/** Parses the rows `| field | unit | allowed | policy new | effect |`. */
 function readRows(): ReadonlyMap<string, readonly string[]> {
   const rows = readFileSync(REFERENCE_URL, 'utf8')
     .split('\n')
@@ -34,7 +34,7 @@
   return new Map(rows.map(cells => [(cells[1] ?? '').slice(1, -1), cells]));
 }
 
-test('each field of the schema is told as in the policy reference', t => {
+test('each field of the schema is described as in the policy reference', t => {
   const rows = readRows();
   const fields = listFields(policyFormModel);
   t.true(fields.length > 34);
@@ -47,7 +47,7 @@
   }
 });
 
-test('no guide is left of a field that is gone', t => {
+test('no guide exists for a field that is not in the schema', t => {
   const paths = listFields(policyFormModel).map(([path]) => path);
   t.deepEqual(Object.keys(FIELD_GUIDES).sort(), [...paths].sort());
 });
