--- a/test/contract/operator_policy.test.ts
+++ b/test/contract/operator_policy.test.ts
@@ -1,6 +1,6 @@
 /**
- * Contract between operators and the policy document: whatever is published,
- * the version in force stays or is replaced by a newer valid one, whole.
+ * Contract between operators and the policy document: whatever is published, a
+ * node keeps its current version or replaces it completely by a newer valid one.
  */
 import test from 'ava';
 import {createHttpDocuments} from '../../src/daemon/http_documents.js';
@@ -11,14 +11,14 @@
 const HELD_VERSION = 5;
 const NEXT = createPolicyBytes(HELD_VERSION + 1);
 
-/** What became of an offered document. */
+/** Result of offering a document. */
 type OfferKind = 'accepted' | 'invalid' | 'not-newer';
 
 interface Fault {
   readonly name: string;
   readonly documentBytes: Uint8Array;
   readonly kind: OfferKind;
-  /** Places that the refusal must name. */
+  /** Paths that the rejection reason must contain. */
   readonly paths?: readonly string[];
 }
 
@@ -110,7 +110,7 @@
     '$.deployment',
   ),
   {
-    name: 'a version that goes down',
+    name: 'a lower version',
     documentBytes: createPolicyBytes(4),
     kind: 'not-newer',
   },
@@ -146,7 +146,7 @@
 }
 
 for (const {name, documentBytes, kind, paths = []} of faults) {
-  test(`${name}: ${kind}, and the version held stays`, t => {
+  test(`${name}: ${kind}, and the current version is kept`, t => {
     const {holder, offer} = createFixture();
     const document = holder.current()?.document;
     const result = offer(documentBytes);
@@ -158,14 +158,14 @@
   });
 }
 
-test('after any fault the next valid version is accepted', t => {
+test('the next valid version is accepted after all faults', t => {
   const {holder, offer} = createFixture();
   for (const {documentBytes} of faults) offer(documentBytes);
   t.is(offer(NEXT).kind, 'accepted');
   t.is(holder.current()?.version, HELD_VERSION + 1);
 });
 
-test('a document with very many faults is refused with a bounded report', t => {
+test('a document with very many problems is rejected with a bounded reason', t => {
   const {offer} = createFixture();
   const names = Array.from({length: 20_000}, (_, index) => [`f${index}`, 0]);
   const result = offer(encodeDocument(Object.fromEntries(names)));
--- a/test/contract/operator_reads.test.ts
+++ b/test/contract/operator_reads.test.ts
@@ -1,5 +1,5 @@
 /**
- * Contract of the operators' listener: it shows and changes nothing.
+ * Contract of the administration listener: it is read-only.
  */
 import http from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -56,7 +56,7 @@
     });
 }
 
-test('readiness tells what is missing', async t => {
+test('readiness lists what is missing', async t => {
   const ready = await open(t);
   t.is((await ready('/ready')).statusCode, 200);
   const waiting = await open(t, {waitingFor: () => ['configuration']});
@@ -69,7 +69,7 @@
   t.is((await waiting('/health')).statusCode, 200);
 });
 
-test('state is read whole or by section', async t => {
+test('state is returned completely or by section', async t => {
   const read = await open(t);
   const whole = JSON.parse((await read('/state?pretty')).text) as object;
   t.deepEqual(Object.keys(whole), ['admission', 'fleet']);
@@ -80,7 +80,7 @@
   t.regex(unknown.text, /there are admission, fleet/);
 });
 
-test('metrics are text, the configuration is as published', async t => {
+test('metrics are text, and the configuration is returned as published', async t => {
   const read = await open(t);
   t.is((await read('/metrics')).text, 'calls_total 3\n');
   const shown = await read('/configuration');
@@ -91,7 +91,7 @@
   t.is((await none('/configuration')).statusCode, 503);
 });
 
-test('nothing can be changed, and faults are told', async t => {
+test('writes are rejected, and failures are reported', async t => {
   const read = await open(t, {
     state: () => {
       throw new Error('section fault');
