--- a/src/cli/admin_client.ts
+++ b/src/cli/admin_client.ts
@@ -1,5 +1,5 @@
 /**
- * Reads from the administration listeners of nodes.
+ * HTTP client for the administration listeners of nodes.
  */
 import * as http from 'node:http';
 
@@ -9,49 +9,55 @@
   TransportError,
 } from '../base/errors.js';
 
-/** Address of one administration listener. */
+/** Address of an administration listener. */
 export interface AdminAddress {
   readonly host: string;
   readonly port: number;
-  /** As the operator wrote it. */
+  /** The address as given on the command line. */
   readonly text: string;
 }
 
-const ADDRESS =
+const ADDRESS_PATTERN =
   /^(?:\[(?<v6>[0-9a-fA-F:.]+)\]|(?<plain>[^:[\]/\s]+)):(?<port>\d{1,5})$/;
 const PORT_MAXIMUM = 65_535;
-const ANSWER_MILLIS = 5000;
-const ANSWER_MAXIMUM_BYTES = 16_777_216;
+const RESPONSE_TIMEOUT_MILLIS = 5000;
+const RESPONSE_MAXIMUM_BYTES = 16_777_216;
 const STATUS_OK = 200;
 
-/** Reads `address:port`, the address in brackets if it is IPv6. */
+/**
+ * Parses `address:port`, with an IPv6 address in brackets; throws
+ * `InvalidInputError` for anything else.
+ */
 export function parseAdminAddress(text: string): AdminAddress {
-  const groups = ADDRESS.exec(text)?.groups;
+  const groups = ADDRESS_PATTERN.exec(text)?.groups;
   const host = groups?.['v6'] ?? groups?.['plain'];
   const port = Number(groups?.['port']);
   if (host !== undefined && port >= 1 && port <= PORT_MAXIMUM) {
     return {host, port, text};
   }
-  const message = `${JSON.stringify(text)} is no host; allowed: address:port of an administration listener.`;
+  const message = `${JSON.stringify(text)} is not a host; allowed: address:port of an administration listener.`;
   throw new InvalidInputError(message, {props: {step: 'arguments'}});
 }
 
-/** Fetches a JSON document; rejects with an error that names step and peer. */
+/**
+ * Fetches a JSON document. Rejects with a `TransportError` that has the failed
+ * step and the peer.
+ */
 export async function fetchAdminJson(
   address: AdminAddress,
   path: string,
 ): Promise<unknown> {
   const peer = address.text;
-  const signal = AbortSignal.timeout(ANSWER_MILLIS);
-  const response = await connect(address, path, signal);
-  const text = await readText(response, peer);
+  const signal = AbortSignal.timeout(RESPONSE_TIMEOUT_MILLIS);
+  const response = await sendGetRequest(address, path, signal);
+  const text = await readResponseText(response, peer);
   const content = parseJson(text, peer);
   if (response.statusCode === STATUS_OK) return content;
-  const message = `HTTP ${String(response.statusCode)}: ${messageOf(content)}`;
+  const message = `HTTP ${String(response.statusCode)}: ${errorMessageOf(content)}`;
   throw new TransportError(message, {props: {step: 'answer', peer}});
 }
 
-async function connect(
+async function sendGetRequest(
   address: AdminAddress,
   path: string,
   signal: AbortSignal,
@@ -61,12 +67,12 @@
   return await new Promise((resolve, reject) => {
     const request = http.get({host, port, path, signal, agent: false}, resolve);
     request.on('error', cause => {
-      reject(new TransportError('No answer:', {cause, props}));
+      reject(new TransportError('No response:', {cause, props}));
     });
   });
 }
 
-async function readText(
+async function readResponseText(
   response: http.IncomingMessage,
   peer: string,
 ): Promise<string> {
@@ -75,15 +81,15 @@
   try {
     for await (const chunk of response as AsyncIterable<Buffer>) {
       sizeBytes += chunk.byteLength;
-      if (sizeBytes > ANSWER_MAXIMUM_BYTES) {
-        const message = `The answer is larger than ${String(ANSWER_MAXIMUM_BYTES)} bytes`;
+      if (sizeBytes > RESPONSE_MAXIMUM_BYTES) {
+        const message = `The response is larger than ${String(RESPONSE_MAXIMUM_BYTES)} bytes`;
         throw new CapacityError(message);
       }
       chunks.push(chunk);
     }
   } catch (cause) {
     const props = {step: 'read-answer', peer};
-    throw new TransportError('The answer is incomplete:', {cause, props});
+    throw new TransportError('The response is incomplete:', {cause, props});
   }
   return Buffer.concat(chunks).toString('utf8');
 }
@@ -93,13 +99,13 @@
     return JSON.parse(text);
   } catch (cause) {
     const message =
-      'The answer is not JSON, as it would be from the administration port:';
+      'The response is not JSON; check that this is the administration port:';
     const props = {step: 'read-answer', peer};
     throw new TransportError(message, {cause, props});
   }
 }
 
-function messageOf(content: unknown): string {
+function errorMessageOf(content: unknown): string {
   if (typeof content !== 'object' || content === null) return '';
   return 'message' in content ? String(content.message) : '';
 }
--- a/src/cli/console/checks_renderer.ts
+++ b/src/cli/console/checks_renderer.ts
@@ -1,13 +1,13 @@
 /**
- * What the checks say about a draft and what it does, drawn beside the forms.
+ * Renders the results of the checks and the draft summary beside the forms.
  */
-import type {ChangeSummary} from './change_summary.js';
+import type {DraftSummary} from './draft_summary.js';
 import type {DraftGroup} from './draft.js';
 import type {FieldProblem} from './field_problems.js';
 import {policyFormModel} from './form_model.js';
 import type {Html} from './html.js';
-import {html, NO_HTML, renderCodeWords} from './html.js';
-import {describePlace} from './place_names.js';
+import {html, EMPTY_HTML, renderCodeSpans} from './html.js';
+import {describeLocation} from './draft_locations.js';
 import {
   renderChanges,
   renderClasses,
@@ -15,25 +15,25 @@
   renderServices,
 } from './summary_renderer.js';
 
-/** What is known about a draft. */
+/** Results of the checks of a draft. */
 export interface ChecksView {
   readonly draft: DraftGroup;
   readonly problems: readonly FieldProblem[];
-  /** Accepted settings to think about. */
+  /** Valid settings that may be mistakes. */
   readonly warnings: readonly FieldProblem[];
-  /** What to know about the step from the previous document. */
+  /** Warnings about the update from the previous document. */
   readonly notes: readonly string[];
-  /** Undefined while the document by itself is invalid. */
-  readonly summary: ChangeSummary | undefined;
-  /** Whether this very document was just saved. */
+  /** Undefined while the document itself is invalid. */
+  readonly summary: DraftSummary | undefined;
+  /** Whether this document was just saved. */
   readonly isSaved: boolean;
 }
 
-/** Problems listed; a large document can have thousands. */
-const LISTED_PROBLEMS_COUNT = 100;
+/** Limits the list, since a large document can have thousands of problems. */
+const MAX_LISTED_PROBLEMS_COUNT = 100;
 
-/** The state of the draft in a few words. */
-export function renderState({problems, isSaved}: ChecksView): Html {
+/** Renders the validity of the draft as a short status. */
+export function renderDraftStatus({problems, isSaved}: ChecksView): Html {
   const count = problems.length;
   if (count > 0) {
     const noun = count === 1 ? 'problem' : 'problems';
@@ -43,7 +43,7 @@
   return html`<a class="state good" href="#checks">${text}</a>`;
 }
 
-/** All parts in their order; those marked live are renewed as one types. */
+/** Renders all parts; those with `data-live` are updated during typing. */
 export function renderChecks(view: ChecksView): Html {
   const {summary} = view;
   return html`<aside id="checks" aria-label="Checks and effects">
@@ -83,12 +83,12 @@
           More may follow: rules that involve several fields are checked once
           each field is valid by itself.
         </p>`
-      : NO_HTML
+      : EMPTY_HTML
   }
   ${
     warnings.length + notes.length > 0
       ? renderWarnings(draft, warnings, notes)
-      : NO_HTML
+      : EMPTY_HTML
   }`;
 }
 
@@ -96,12 +96,12 @@
   draft: DraftGroup,
   problems: readonly FieldProblem[],
 ): Html {
-  const listed = problems.slice(0, LISTED_PROBLEMS_COUNT);
+  const listed = problems.slice(0, MAX_LISTED_PROBLEMS_COUNT);
   const hiddenCount = problems.length - listed.length;
   return html`<ol class="problems">
       ${listed.map(problem => renderProblem(draft, problem))}
     </ol>
-    ${hiddenCount > 0 ? html`<p>and ${hiddenCount} more</p>` : NO_HTML}`;
+    ${hiddenCount > 0 ? html`<p>and ${hiddenCount} more</p>` : EMPTY_HTML}`;
 }
 
 function renderWarnings(
@@ -121,12 +121,12 @@
   {name, found, allowed}: FieldProblem,
 ): Html {
   return html`<li>
-    <a href="#${anchorOf(name)}">${describePlace(draft, name)}</a>: ${found}
-    Allowed: ${renderCodeWords(allowed)}.
+    <a href="#${anchorOf(name)}">${describeLocation(draft, name)}</a>: ${found}
+    Allowed: ${renderCodeSpans(allowed)}.
   </li>`;
 }
 
-/** Fields, items and inner lists have ids of their own, top lists sections. */
+/** Top-level lists and groups have a section id, all others their form name. */
 function anchorOf(name: string): string {
   if (name === '') return 'section-identity';
   const member = policyFormModel.members.find(model => model.name === name);
--- a/src/cli/console/console_command.ts
+++ b/src/cli/console/console_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow console [FILE]`: forms for writing the policy document.
+ * `fulmarhollow console [FILE]`: serves forms for editing a policy document.
  */
 import type {CommandModule} from 'yargs';
 import type {ConsoleServer} from './console_server.js';
@@ -7,16 +7,16 @@
 import {createConsoleSession} from './console_session.js';
 import type {CommandOutput, ExitCode} from '../command_output.js';
 import {EXIT, processOutput} from '../command_output.js';
-import {readUsablePolicy} from '../policy_file.js';
+import {readValidPolicy} from '../policy_file.js';
 import {describeError} from '../../base/errors.js';
 import {createDisposableStore, toDisposable} from '../../base/lifecycle.js';
 
 /** Arguments of the command. */
 export interface ConsoleArguments {
-  /** Document to be replaced. */
+  /** Document to be replaced; undefined if there is none. */
   readonly file: string | undefined;
   readonly port: number;
-  /** File that saving writes. */
+  /** File to which documents are saved; undefined to download them. */
   readonly out: string | undefined;
 }
 
@@ -47,23 +47,29 @@
         if (Number.isInteger(port) && port >= 0 && port <= PORT_MAXIMUM) {
           return true;
         }
-        throw new Error(`--port goes from 0 to ${String(PORT_MAXIMUM)}`);
+        throw new Error(
+          `--port must be a whole number from 0 to ${String(PORT_MAXIMUM)}`,
+        );
       }),
   handler: async args => {
-    const signals = createSignalWatch();
-    process.exitCode = await runConsole(args, processOutput, signals.signal);
-    signals.dispose();
+    const stopSignals = createSignalWatch();
+    process.exitCode = await runConsole(
+      args,
+      processOutput,
+      stopSignals.signal,
+    );
+    stopSignals.dispose();
   },
 };
 
-/** Serves the forms until cancelled. */
+/** Serves the forms until `signal` aborts. */
 export async function runConsole(
   args: ConsoleArguments,
   output: CommandOutput,
   signal: AbortSignal,
 ): Promise<ExitCode> {
   const previous =
-    args.file === undefined ? undefined : readUsablePolicy(args.file, output);
+    args.file === undefined ? undefined : readValidPolicy(args.file, output);
   if (typeof previous === 'number') return previous;
   const session = createConsoleSession({previous, outputFile: args.out});
   let server: ConsoleServer;
@@ -91,7 +97,7 @@
   });
 }
 
-/** Cancels at the signals by which a program in a terminal is stopped. */
+/** Aborts when the process receives `SIGINT` or `SIGTERM`. */
 function createSignalWatch() {
   const controller = new AbortController();
   const store = createDisposableStore();
--- a/src/cli/console/document_file.ts
+++ b/src/cli/console/document_file.ts
@@ -1,54 +1,57 @@
 /**
- * Writing of a validated document to a file of the operator.
+ * Writes a validated document to a file.
  */
 import {existsSync, renameSync, rmSync, writeFileSync} from 'node:fs';
 import {v4 as createUuid} from 'uuid';
 import {readPolicyFile} from '../policy_file.js';
-import {checkSuccession} from '../policy_succession.js';
+import {checkPolicyUpdate} from '../policy_update.js';
 import {describeError} from '../../base/errors.js';
 import type {CompiledPolicy} from '../../version/policy.js';
 import type {Problem} from '../../version/problem.js';
 import {ROOT_PATH} from '../../version/problem.js';
 
-/** Writes the document whole; returns why it was not written. */
+/** Writes the document atomically; returns the problem if it was not written. */
 export function saveDocumentFile(
   filePath: string,
   compiled: CompiledPolicy,
 ): Problem | undefined {
-  const obstacle = findObstacle(filePath, compiled);
-  if (obstacle !== undefined) return obstacle;
+  const overwriteProblem = findOverwriteProblem(filePath, compiled);
+  if (overwriteProblem !== undefined) return overwriteProblem;
   const temporaryPath = `${filePath}.${createUuid()}.tmp`;
   try {
-    // A full disk would otherwise leave half a document under the final name.
+    // Without the temporary file, a full disk would leave a truncated document.
     writeFileSync(temporaryPath, compiled.documentBytes, {flag: 'wx'});
     renameSync(temporaryPath, filePath);
     return undefined;
   } catch (error) {
     rmSync(temporaryPath, {force: true});
-    return fileProblem(describeError(error), `${filePath} as a file to write`);
+    return createFileProblem(
+      describeError(error),
+      `${filePath} as a file to write`,
+    );
   }
 }
 
-/** A mistyped name must not cost another file, nor a newer version. */
-function findObstacle(
+/** Prevents a mistyped name from overwriting another file or a newer version. */
+function findOverwriteProblem(
   filePath: string,
   compiled: CompiledPolicy,
 ): Problem | undefined {
   if (!existsSync(filePath)) return undefined;
   const existing = readPolicyFile(filePath);
   if (existing.kind !== 'compiled') {
-    return fileProblem(
-      `${filePath} exists and is no usable policy document`,
+    return createFileProblem(
+      `${filePath} exists and is not a valid policy document`,
       'a new file, or one with an older version of this policy',
     );
   }
-  const [problem] = checkSuccession(
+  const [problem] = checkPolicyUpdate(
     existing.compiled.policy,
     compiled.policy,
   ).problems;
   return problem;
 }
 
-function fileProblem(value: string, allowed: string): Problem {
+function createFileProblem(value: string, allowed: string): Problem {
   return {path: ROOT_PATH, value, allowed};
 }
--- a/src/cli/console/change_summary.ts
+++ b/src/cli/console/draft_summary.ts
@@ -1,53 +1,54 @@
 /**
- * What a draft does, as data: importance, shares of upstreams, rules of routes,
- * and each difference from the previous document in words.
+ * Summary of a draft as data: importance of classes, their share of upstreams,
+ * rules of routes, and a sentence for each change from the previous document.
  */
-import {labelOf, singularOf, unitOf} from './field_words.js';
+import {labelOf, singularOf, unitOf} from './field_labels.js';
 import type {PolicyChange} from '../policy_changes.js';
 import {findPolicyChanges} from '../policy_changes.js';
 import type {RouteExplanation} from '../route_explanation.js';
 import {explainRoute} from '../route_explanation.js';
 import type {CompiledPolicy, Policy} from '../../version/policy.js';
 
-/** One class, the most important first. */
+/** Summary of one class. */
 export interface ClassSummary {
   readonly name: string;
   readonly reservedRatio: number;
-  /** Share of an upstream's limit that the class may use. */
+  /** Maximum share of an upstream's limit that the class may use. */
   readonly usableRatio: number;
   readonly routesCount: number;
-  /** The next less important class; undefined for the one shed first. */
+  /** The next less important class; undefined for the class shed first. */
   readonly shedAfter: string | undefined;
 }
 
-/** Slots of one upstream that each class may use, in the order of classes. */
+/** Maximum slots of one upstream for each class, in the order of classes. */
 export interface ServiceSummary {
   readonly name: string;
   readonly slotsCount: number;
   readonly usableSlotsCounts: readonly number[];
 }
 
-/** One difference as a sentence. */
-export interface ChangeSentence {
+/** One change as a sentence. */
+export interface ChangeDescription {
   readonly sentence: string;
   readonly concerns: string;
 }
 
-/** Everything shown about a valid draft. */
-export interface ChangeSummary {
+/** Summary of a valid draft. */
+export interface DraftSummary {
+  /** Most important class first. */
   readonly classes: readonly ClassSummary[];
   readonly services: readonly ServiceSummary[];
   readonly routes: readonly RouteExplanation[];
-  /** Undefined for a first document. */
+  /** Undefined if there is no previous document. */
   readonly previousVersion: number | undefined;
-  readonly changes: readonly ChangeSentence[];
+  readonly changes: readonly ChangeDescription[];
 }
 
-/** Collects what a draft does. */
-export function summarizeChange(
+/** Summarizes a draft and its changes from the previous document. */
+export function summarizeDraft(
   compiled: CompiledPolicy,
   previous: Policy | undefined,
-): ChangeSummary {
+): DraftSummary {
   const {policy} = compiled;
   const changes = previous ? findPolicyChanges(previous, policy) : [];
   return {
@@ -80,7 +81,7 @@
 ): readonly ServiceSummary[] {
   const {classes, services} = compiled.policy;
   return services.map(service => {
-    // Each route has the same slots; the schema lets no service be without.
+    // All routes have the same slots; the schema requires at least one route.
     const routes = service.routes.slice(0, 1);
     const usableSlotsCounts = classes.flatMap((_, classIndex) =>
       routes.map(
@@ -104,50 +105,54 @@
   );
 }
 
-/** Tells a difference as a sentence. */
-export function describeChange(change: PolicyChange): ChangeSentence {
-  return {sentence: `${subjectOf(change)}.`, concerns: change.concerns};
+/** Describes a change as a sentence. */
+export function describeChange(change: PolicyChange): ChangeDescription {
+  return {
+    sentence: `${formatChangeSentence(change)}.`,
+    concerns: change.concerns,
+  };
 }
 
-function subjectOf({path, before, after}: PolicyChange): string {
-  const place = readPlace(path);
-  if (place.fieldName === undefined) {
+function formatChangeSentence({path, before, after}: PolicyChange): string {
+  const location = parseChangePath(path);
+  if (location.fieldName === undefined) {
     const verb = before === undefined ? 'is new' : 'is removed';
-    return `${capitalize(place.owner)} ${verb}`;
+    return `${capitalize(location.owner)} ${verb}`;
   }
-  if (place.fieldName === 'rank') {
+  if (location.fieldName === 'rank') {
     const direction = Number(after) < Number(before) ? 'up' : 'down';
-    return `${capitalize(place.owner)} moves ${direction} in importance from place ${String(before)} to place ${String(after)}`;
+    return `${capitalize(location.owner)} moves ${direction} in importance from place ${String(before)} to place ${String(after)}`;
   }
-  const label = labelOf(place.fieldName);
-  const subject = place.owner === '' ? label : `${label} of ${place.owner}`;
-  const unit = unitOf(place.schemaPath);
+  const label = labelOf(location.fieldName);
+  const subject =
+    location.owner === '' ? label : `${label} of ${location.owner}`;
+  const unit = unitOf(location.schemaPath);
   const suffix = unit === '' ? '' : ` ${unit}`;
-  return `${subject}: ${directionOf(before, after)} from ${String(before)} to ${String(after)}${suffix}`;
+  return `${subject}: ${describeDirection(before, after)} from ${String(before)} to ${String(after)}${suffix}`;
 }
 
-interface ChangePlace {
-  /** The item or section, for example `route read-tile of service tileyard`. */
+interface ChangeLocation {
+  /** Item or section, for example `route read-tile of service tileyard`. */
   readonly owner: string;
-  /** Undefined if the item as a whole is new or gone. */
+  /** Undefined if the whole item was added or removed. */
   readonly fieldName: string | undefined;
   readonly schemaPath: string;
 }
 
-const LIST_NAMES: ReadonlySet<string> = new Set([
+const LIST_SECTIONS: ReadonlySet<string> = new Set([
   'availabilityZones',
   'classes',
   'services',
   'organisations',
 ]);
 
-/** Names have no dots, so that a path of names can be split again. */
-function readPlace(path: string): ChangePlace {
+/** Splits the path at dots, which names cannot contain. */
+function parseChangePath(path: string): ChangeLocation {
   const [section = '', name, member, itemName, itemField] = path.split('.');
   if (name === undefined) {
     return {owner: '', fieldName: section, schemaPath: section};
   }
-  if (!LIST_NAMES.has(section)) {
+  if (!LIST_SECTIONS.has(section)) {
     return {
       owner: labelOf(section).toLowerCase(),
       fieldName: name,
@@ -175,7 +180,7 @@
   };
 }
 
-function directionOf(before: unknown, after: unknown): string {
+function describeDirection(before: unknown, after: unknown): string {
   if (typeof before !== 'number' || typeof after !== 'number') {
     return 'changed';
   }
--- a/src/cli/console/new_items.ts
+++ b/src/cli/console/draft_templates.ts
@@ -1,10 +1,10 @@
 /**
- * Drafts to start from: the document of `policy new` with everything left empty
- * that only the operator can know.
+ * Templates for drafts and list items: the document of `policy new` without the
+ * values that the operator has to provide.
  */
 import type {DraftGroup} from './draft.js';
 import {toDraft} from './draft.js';
-import {malformed} from './form_fields.js';
+import {formError} from './form_fields.js';
 import type {FormModel, GroupModel} from './form_model.js';
 import {policyFormModel} from './form_model.js';
 import {createStartingPolicy} from '../starting_policy.js';
@@ -22,8 +22,8 @@
   apiKeys: [],
 };
 
-/** Words of a route that are wrong for some routes whatever is preset. */
-const CHOSEN_BY_OPERATOR: ReadonlySet<string> = new Set([
+/** Fields without a default that is right for every item. */
+const OPERATOR_CHOSEN_FIELDS: ReadonlySet<string> = new Set([
   'name',
   'path',
   'className',
@@ -31,50 +31,62 @@
   'repeat',
 ]);
 
-/** A draft of a first document. */
+/** Creates a draft for a deployment without a previous document. */
 export function createStartingDraft(): DraftGroup {
   return toDraft(policyFormModel, TEMPLATE);
 }
 
-/** A new item for the list of that form name, for example `services.0.routes`. */
+/** Creates an item for a list by form name, for example `services.0.routes`. */
 export function createNewItem(listName: string): DraftGroup {
   const segments = listName.split('.');
   const path = segments.filter(segment => !/^\d+$/.test(segment)).join('.');
   switch (path) {
     case 'availabilityZones':
-      return createBlank(path, TEMPLATE.availabilityZones[0]);
+      return createItemFromTemplate(path, TEMPLATE.availabilityZones[0]);
     case 'classes':
-      return {...createBlank(path, TEMPLATE.classes[0]), reservedRatio: '0'};
+      return {
+        ...createItemFromTemplate(path, TEMPLATE.classes[0]),
+        reservedRatio: '0',
+      };
     case 'services':
-      return createBlank(path, TEMPLATE.services[0]);
+      return createItemFromTemplate(path, TEMPLATE.services[0]);
     case 'organisations':
-      return createBlank(path, EMPTY_ORGANISATION);
+      return createItemFromTemplate(path, EMPTY_ORGANISATION);
     case 'organisations.apiKeys':
-      return createBlank(path, {name: '', digest: ''});
+      return createItemFromTemplate(path, {name: '', digest: ''});
     case 'services.routes':
-      return createBlank(path, TEMPLATE.services[0]?.routes[0]);
+      return createItemFromTemplate(path, TEMPLATE.services[0]?.routes[0]);
     default:
-      throw malformed(`there is no list ${listName}`);
+      throw formError(`there is no list ${listName}`);
   }
 }
 
-function createBlank(path: string, template: object | undefined): DraftGroup {
+function createItemFromTemplate(
+  path: string,
+  template: object | undefined,
+): DraftGroup {
   const model = findItemModel(path);
-  if (template === undefined) throw malformed(`no template for ${path}`);
-  return blankOut(model, toDraft(model, template));
+  if (template === undefined) throw formError(`no template for ${path}`);
+  return clearOperatorChosenFields(model, toDraft(model, template));
 }
 
-function blankOut(model: GroupModel, draft: DraftGroup): DraftGroup {
+function clearOperatorChosenFields(
+  model: GroupModel,
+  draft: DraftGroup,
+): DraftGroup {
   return Object.fromEntries(
     model.members.map(member => {
       const node = draft[member.name] ?? '';
-      if (CHOSEN_BY_OPERATOR.has(member.name)) return [member.name, ''];
-      // One empty item: a list without any would be invalid.
+      if (OPERATOR_CHOSEN_FIELDS.has(member.name)) return [member.name, ''];
+      // Keeps one empty item, since an empty list would be invalid.
       if (member.kind !== 'list' || !Array.isArray(node)) {
         return [member.name, node];
       }
       const items = (node as readonly DraftGroup[]).slice(0, 1);
-      return [member.name, items.map(item => blankOut(member.item, item))];
+      return [
+        member.name,
+        items.map(item => clearOperatorChosenFields(member.item, item)),
+      ];
     }),
   );
 }
@@ -85,7 +97,7 @@
     const member: FormModel | undefined = group.members.find(
       ({name}) => name === segment,
     );
-    if (member?.kind !== 'list') throw malformed(`there is no list ${path}`);
+    if (member?.kind !== 'list') throw formError(`there is no list ${path}`);
     group = member.item;
   }
   return group;
--- a/src/cli/console/field_problems.ts
+++ b/src/cli/console/field_problems.ts
@@ -1,41 +1,41 @@
 /**
- * Assignment of problems to the form fields they are about.
+ * Maps problems of a document to the form fields that they are about.
  */
 import type {Problem} from '../../version/problem.js';
 import {ROOT_PATH} from '../../version/problem.js';
 
-/** A problem and where the form shows it. */
+/** A problem and the form field at which it is shown. */
 export interface FieldProblem {
-  /** Name of a field, an item or a list; empty for the whole document. */
+  /** Form name of a field, item or list; empty for the whole document. */
   readonly name: string;
-  /** What is there, as a sentence. */
+  /** The current value, as a sentence. */
   readonly found: string;
-  /** What would be accepted, as a phrase. */
+  /** The accepted values, as a phrase. */
   readonly allowed: string;
 }
 
-/** Messages by the name of what they are shown at. */
+/** Messages by the form name at which they are shown. */
 export type FieldMessages = ReadonlyMap<string, string>;
 
 /** Longest excerpt of a value in a message. */
-const SHOWN_VALUE_CHARS = 60;
+const MAX_SHOWN_VALUE_CHARS = 60;
 
-const NOTHING_FOUND = 'Nothing entered.';
+const EMPTY_FIELD_MESSAGE = 'Nothing entered.';
 
-/** Translates problems of the document into problems of the form. */
+/** Converts problems of the document to problems of form fields. */
 export function toFieldProblems(
   problems: readonly Problem[],
 ): readonly FieldProblem[] {
   return problems.map(({path, value, allowed}) => ({
     name: toFormName(path),
-    found: describeFound(value),
+    found: describeFoundValue(value),
     allowed,
   }));
 }
 
 /**
- * Joins the messages of each place. One about an empty field is kept short, as
- * what is allowed stands in the guide and would crowd a row of empty fields.
+ * Joins the messages of each field. The message for an empty field omits the
+ * allowed values, which are in the guide and would clutter rows of empty fields.
  */
 export function groupMessages(
   problems: readonly FieldProblem[],
@@ -43,14 +43,14 @@
   const messages = new Map<string, string>();
   for (const {name, found, allowed} of problems) {
     const message =
-      found === NOTHING_FOUND ? found : `${found} Allowed: ${allowed}.`;
+      found === EMPTY_FIELD_MESSAGE ? found : `${found} Allowed: ${allowed}.`;
     const earlier = messages.get(name);
     messages.set(name, earlier ? `${earlier} ${message}` : message);
   }
   return messages;
 }
 
-/** `$.services[0].name` as `services.0.name`. */
+/** Converts `$.services[0].name` to `services.0.name`. */
 function toFormName(path: string): string {
   return path
     .slice(ROOT_PATH.length)
@@ -58,9 +58,9 @@
     .replace(/^\./, '');
 }
 
-function describeFound(value: unknown): string {
-  if (value === undefined) return NOTHING_FOUND;
+function describeFoundValue(value: unknown): string {
+  if (value === undefined) return EMPTY_FIELD_MESSAGE;
   const text = JSON.stringify(value);
-  if (text.length <= SHOWN_VALUE_CHARS) return `Found ${text}.`;
-  return `Found ${text.slice(0, SHOWN_VALUE_CHARS)}...`;
+  if (text.length <= MAX_SHOWN_VALUE_CHARS) return `Found ${text}.`;
+  return `Found ${text.slice(0, MAX_SHOWN_VALUE_CHARS)}...`;
 }
--- a/src/cli/console/form_fields.ts
+++ b/src/cli/console/form_fields.ts
@@ -1,68 +1,68 @@
 /**
- * Reading of submitted form fields into a draft. Names are paths with dots, for
- * example `services.0.name`; `services.count` tells how many items there are.
+ * Parses submitted form fields into a draft. Names are dotted paths, for example
+ * `services.0.name`; `services.count` is the number of items.
  */
 import type {DraftGroup, DraftNode} from './draft.js';
 import type {FormModel, GroupModel, ListModel} from './form_model.js';
 import {InvalidInputError} from '../../base/errors.js';
 
-/** Field that holds what the operator asked for, besides those of the draft. */
+/** Field with the requested action; not part of the draft. */
 export const ACTION_FIELD = 'action';
 
-/** Suffix of the field that tells the length of a list. */
-export const COUNT_NAME = 'count';
+/** Suffix of the field with the number of items in a list. */
+export const COUNT_SUFFIX = 'count';
 
-/** Name of a member or item. */
+/** Joins the form name of a parent and a member name or item index. */
 export function joinName(parent: string, name: string | number): string {
   return parent === '' ? String(name) : `${parent}.${String(name)}`;
 }
 
-/** What a form sent. */
+/** Content of a submitted form. */
 export interface FormSubmission {
   readonly draft: DraftGroup;
-  /** Empty if the form was sent without a button. */
+  /** Empty if the form was submitted without an edit button. */
   readonly action: string;
 }
 
 /**
- * Reads a form as a whole. A form that lacks fields, as one that was cut off,
- * would make a document without some rules, and one with other fields was
- * written for another version of the program; both are refused.
+ * Parses a complete form; throws `InvalidInputError` for missing, duplicate or
+ * unknown fields. A truncated form would yield a document without some rules, and
+ * unknown fields come from another version of the program.
  */
 export function readSubmission(
   model: GroupModel,
   fields: URLSearchParams,
 ): FormSubmission {
-  const pending = new Map<string, string>();
+  const remaining = new Map<string, string>();
   for (const [name, text] of fields) {
-    if (pending.has(name)) throw malformed(`field ${name} is there twice`);
-    pending.set(name, text);
+    if (remaining.has(name)) throw formError(`field ${name} is duplicated`);
+    remaining.set(name, text);
   }
-  const action = pending.get(ACTION_FIELD) ?? '';
-  pending.delete(ACTION_FIELD);
-  const draft = takeGroup(model, '', pending);
-  const [unknownName] = pending.keys();
+  const action = remaining.get(ACTION_FIELD) ?? '';
+  remaining.delete(ACTION_FIELD);
+  const draft = takeGroup(model, '', remaining);
+  const [unknownName] = remaining.keys();
   if (unknownName === undefined) return {draft, action};
-  throw malformed(`field ${unknownName} is unknown`);
+  throw formError(`field ${unknownName} is unknown`);
 }
 
-/** The error for a form that no page of the console sends. */
-export function malformed(reason: string) {
+/** Creates the error for a form that no page of the console sends. */
+export function formError(reason: string) {
   const message = `The form is malformed: ${reason}.`;
   return new InvalidInputError(message, {props: {step: 'read-form'}});
 }
 
-type PendingFields = Map<string, string>;
+type RemainingFields = Map<string, string>;
 
 function takeGroup(
   model: GroupModel,
   name: string,
-  pending: PendingFields,
+  remaining: RemainingFields,
 ): DraftGroup {
   return Object.fromEntries(
     model.members.map(member => [
       member.name,
-      takeNode(member, joinName(name, member.name), pending),
+      takeNode(member, joinName(name, member.name), remaining),
     ]),
   );
 }
@@ -70,37 +70,37 @@
 function takeNode(
   model: FormModel,
   name: string,
-  pending: PendingFields,
+  remaining: RemainingFields,
 ): DraftNode {
   switch (model.kind) {
     case 'field':
-      return takeText(name, pending);
+      return takeText(name, remaining);
     case 'group':
-      return takeGroup(model, name, pending);
+      return takeGroup(model, name, remaining);
     case 'list':
-      return takeList(model, name, pending);
+      return takeList(model, name, remaining);
   }
 }
 
 function takeList(
   model: ListModel,
   name: string,
-  pending: PendingFields,
+  remaining: RemainingFields,
 ): readonly DraftGroup[] {
-  const countName = joinName(name, COUNT_NAME);
-  const countText = takeText(countName, pending);
-  if (!/^\d{1,6}$/.test(countText)) throw malformed(`${countName} is no count`);
+  const countName = joinName(name, COUNT_SUFFIX);
+  const countText = takeText(countName, remaining);
+  if (!/^\d{1,6}$/.test(countText)) throw formError(`${countName} is invalid`);
   const items: DraftGroup[] = [];
-  // Stops at the first item that is missing, however large the count is.
+  // A missing item throws, so an excessive count does not cause a long loop.
   for (let index = 0; index < Number(countText); index += 1) {
-    items.push(takeGroup(model.item, joinName(name, index), pending));
+    items.push(takeGroup(model.item, joinName(name, index), remaining));
   }
   return items;
 }
 
-function takeText(name: string, pending: PendingFields): string {
-  const text = pending.get(name);
-  if (text === undefined) throw malformed(`field ${name} is missing`);
-  pending.delete(name);
+function takeText(name: string, remaining: RemainingFields): string {
+  const text = remaining.get(name);
+  if (text === undefined) throw formError(`field ${name} is missing`);
+  remaining.delete(name);
   return text;
 }
--- a/src/cli/console/page_renderer.ts
+++ b/src/cli/console/page_renderer.ts
@@ -1,36 +1,36 @@
 /**
- * The pages of the console.
+ * Renders the pages of the console.
  */
 import type {ChecksView} from './checks_renderer.js';
-import {renderChecks, renderState} from './checks_renderer.js';
+import {renderChecks, renderDraftStatus} from './checks_renderer.js';
 import type {DraftGroup} from './draft.js';
 import {CLASS_NAMES_ID} from './field_input_renderer.js';
 import {groupMessages} from './field_problems.js';
-import {labelOf} from './field_words.js';
+import {labelOf} from './field_labels.js';
 import {policyFormModel} from './form_model.js';
 import {renderForm} from './form_renderer.js';
 import type {Html} from './html.js';
-import {html, NO_HTML} from './html.js';
+import {html, EMPTY_HTML} from './html.js';
 
-/** A document that was just saved. */
+/** Notice about a document that was just saved. */
 export interface SavedNotice {
   readonly deployment: string;
   readonly version: number;
   readonly digest: string;
-  /** File it was written to; undefined if it is to be downloaded. */
+  /** File that was written; undefined if the document is downloaded. */
   readonly file: string | undefined;
 }
 
-/** Everything a page shows. */
+/** Data of a page. */
 export interface PageView extends ChecksView {
   readonly saved: SavedNotice | undefined;
-  /** File that saving writes; undefined if documents are downloaded. */
+  /** File to which documents are saved; undefined to download them. */
   readonly outputFile: string | undefined;
-  /** Whether closing the page would lose something. */
+  /** Whether the page has unsaved changes. */
   readonly isChanged: boolean;
 }
 
-/** The page with all forms. */
+/** Renders the page with all forms. */
 export function renderPage(view: PageView): Html {
   const title = `Policy of ${String(view.draft['deployment'] || 'a new deployment')}`;
   return renderDocument(
@@ -43,7 +43,7 @@
     >
       <header class="bar">
         <h1>${title}</h1>
-        <span id="live-state" data-live>${renderState(view)}</span>
+        <span id="live-state" data-live>${renderDraftStatus(view)}</span>
         <button type="submit" name="action" value="" formaction="edit">
           Check
         </button>
@@ -55,7 +55,7 @@
           }
         </button>
       </header>
-      ${view.saved === undefined ? NO_HTML : renderSaved(view.saved)}
+      ${view.saved === undefined ? EMPTY_HTML : renderSaved(view.saved)}
       ${renderNavigation()}
       <div class="columns">
         <main>
@@ -72,11 +72,11 @@
   );
 }
 
-/** The parts of a page that change while the operator types. */
+/** Renders the parts of a page that are updated while the operator types. */
 export function renderLiveParts(view: PageView): Html {
   return renderDocument(
     'Check',
-    html`<span id="live-state" data-live>${renderState(view)}</span>
+    html`<span id="live-state" data-live>${renderDraftStatus(view)}</span>
       ${renderChecks(view)}
       <ul id="field-problems">
         ${[...groupMessages(view.problems)].map(
@@ -86,8 +86,8 @@
   );
 }
 
-/** A page for a request that cannot be served. */
-export function renderFailure(title: string, message: string): Html {
+/** Renders an error page. */
+export function renderErrorPage(title: string, message: string): Html {
   return renderDocument(
     title,
     html`<div class="failure">
@@ -148,7 +148,7 @@
   </nav>`;
 }
 
-/** Suggestions for the class of a route. */
+/** Renders the suggestions for the class of a route. */
 function renderClassNames(draft: DraftGroup): Html {
   const classes = draft['classes'];
   const items = typeof classes === 'object' ? Object.values(classes) : [];
--- a/src/cli/console/summary_renderer.ts
+++ b/src/cli/console/summary_renderer.ts
@@ -1,20 +1,20 @@
 /**
- * What a draft does, drawn beside its forms.
+ * Renders the draft summary beside the forms.
  */
 import type {
-  ChangeSummary,
+  DraftSummary,
   ClassSummary,
   ServiceSummary,
-} from './change_summary.js';
+} from './draft_summary.js';
 import type {Html} from './html.js';
-import {html, NO_HTML} from './html.js';
+import {html, EMPTY_HTML} from './html.js';
 import type {RouteExplanation} from '../route_explanation.js';
 import {formatExplanation} from '../route_explanation.js';
 
 const INVALID_NOTE = 'Shown once each field is valid.';
 
-/** Each difference from the previous document. */
-export function renderChanges(summary: ChangeSummary | undefined): Html {
+/** Renders the changes from the previous document. */
+export function renderChanges(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   const {previousVersion, changes} = summary;
   if (previousVersion === undefined) {
@@ -33,8 +33,8 @@
     </ul>`;
 }
 
-/** The classes in their order, with their reserves. */
-export function renderClasses(summary: ChangeSummary | undefined): Html {
+/** Renders the classes with their reserves, in order of importance. */
+export function renderClasses(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   return html`<table class="figures">
     <thead>
@@ -57,8 +57,8 @@
       </th>
     </tr>
     <tr>
-      <td>${formatShare(item.reservedRatio)}</td>
-      <td>${formatShare(item.usableRatio)}</td>
+      <td>${formatPercent(item.reservedRatio)}</td>
+      <td>${formatPercent(item.usableRatio)}</td>
       <td>${item.routesCount}</td>
     </tr>
   </tbody>`;
@@ -68,8 +68,8 @@
   return shedAfter === undefined ? 'shed first' : `shed after ${shedAfter}`;
 }
 
-/** How many slots of an upstream each class may use. */
-export function renderServices(summary: ChangeSummary | undefined): Html {
+/** Renders the number of slots of an upstream that each class may use. */
+export function renderServices(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   return html`<p class="help">
       Slots of one upstream that a class may use at most; numbers are the places
@@ -102,8 +102,8 @@
   </tr>`;
 }
 
-/** The rules of each route, as `policy explain` tells them. */
-export function renderRoutes(summary: ChangeSummary | undefined): Html {
+/** Renders the rules of each route, as in `policy explain`. */
+export function renderRoutes(summary: DraftSummary | undefined): Html {
   if (summary === undefined) return renderNote(INVALID_NOTE);
   return html`${summary.routes.map(renderRoute)}`;
 }
@@ -119,7 +119,7 @@
 
 function renderRule(line: string): Html {
   const separatorIndex = line.indexOf(':');
-  if (separatorIndex < 0) return NO_HTML;
+  if (separatorIndex < 0) return EMPTY_HTML;
   return html`<dt>${line.slice(0, separatorIndex)}</dt>
     <dd>${line.slice(separatorIndex + 1).trim()}</dd>`;
 }
@@ -128,7 +128,7 @@
   return html`<p class="help">${text}</p>`;
 }
 
-/** Two decimals of a per cent are more than limits of 100,000 need. */
-function formatShare(ratio: number): string {
+/** Two decimals of a percentage are sufficient for limits of up to 100,000. */
+function formatPercent(ratio: number): string {
   return `${String(Math.round(ratio * 10_000) / 100)}%`;
 }
--- a/src/cli/losses_command.ts
+++ b/src/cli/losses_command.ts
@@ -1,5 +1,5 @@
 /**
- * `fulmarhollow losses [FILE...]`: which requests a fleet did not serve, and why.
+ * `fulmarhollow losses [FILE...]`: summarizes failed requests of a fleet.
  */
 import type {Readable} from 'node:stream';
 import type {CommandModule} from 'yargs';
@@ -7,7 +7,7 @@
 import type {CommandOutput, ExitCode} from './command_output.js';
 import {EXIT, processOutput, writeJson} from './command_output.js';
 import {parseLogLine, readLogLines} from './log_lines.js';
-import type {Losses, LossRow} from './losses.js';
+import type {LossSummary, LossRow} from './losses.js';
 import {createLossCounter} from './losses.js';
 
 /** Arguments of the command. */
@@ -17,8 +17,8 @@
   readonly json: boolean;
 }
 
-/** Rows of each table: more are of the ones that cost little. */
-const SHOWN_ROWS_COUNT = 12;
+/** Rows shown in each table; any further rows have the lowest counts. */
+const MAX_SHOWN_ROWS_COUNT = 12;
 
 const DEFAULT_SPAN_SECONDS = 2;
 const MILLIS_PER_SECOND = 1000;
@@ -50,14 +50,14 @@
   },
 };
 
-/** Prints what was lost; resolves with the exit code. */
+/** Prints the summary; resolves with the exit code. */
 export async function printLosses(
   args: LossesArguments,
   input: Readable,
   output: CommandOutput,
 ): Promise<ExitCode> {
   if (!(args.spanSeconds > 0)) {
-    output.writeErrorLine('spanSeconds must be a number above 0.');
+    output.writeErrorLine('spanSeconds must be a number greater than 0.');
     return EXIT.usage;
   }
   const counter = createLossCounter();
@@ -76,13 +76,13 @@
   return EXIT.ok;
 }
 
-function writeTables(output: CommandOutput, losses: Losses): void {
+function writeTables(output: CommandOutput, losses: LossSummary): void {
   const covered = (losses.coveredRatio * 100).toFixed(1);
   output.writeLine(
     `${String(losses.count)} attempts of clients not served; lines of ${covered}% of these decisions`,
   );
-  writeTable(output, 'reason', losses.byReason.slice(0, SHOWN_ROWS_COUNT));
-  writeTable(output, 'route', losses.byRoute.slice(0, SHOWN_ROWS_COUNT));
+  writeTable(output, 'reason', losses.byReason.slice(0, MAX_SHOWN_ROWS_COUNT));
+  writeTable(output, 'route', losses.byRoute.slice(0, MAX_SHOWN_ROWS_COUNT));
   writeTable(output, 'from', losses.bySpan);
 }
 
--- a/src/cli/policy_check_command.ts
+++ b/src/cli/policy_check_command.ts
@@ -1,11 +1,11 @@
 /**
- * `fulmarhollow policy check FILE...`: every fault of policy documents.
+ * `fulmarhollow policy check FILE...`: reports all problems of policy documents.
  */
 import type {CommandModule} from 'yargs';
 import type {CommandOutput, ExitCode} from './command_output.js';
 import {EXIT, processOutput} from './command_output.js';
-import {readPolicyFile, readUsablePolicy} from './policy_file.js';
-import {checkSuccession} from './policy_succession.js';
+import {readPolicyFile, readValidPolicy} from './policy_file.js';
+import {checkPolicyUpdate} from './policy_update.js';
 import type {CompiledPolicy} from '../version/policy.js';
 import {findPolicyWarnings} from '../version/policy_warnings.js';
 import {formatProblem} from '../version/problem.js';
@@ -13,7 +13,7 @@
 /** Arguments of the command. */
 export interface PolicyCheckArguments {
   readonly files: readonly string[];
-  /** File of the version to be replaced. */
+  /** File with the version to be replaced. */
   readonly previous: string | undefined;
 }
 
@@ -36,14 +36,14 @@
       })
       .check(args => {
         if (args.previous === undefined || args.files.length === 1) return true;
-        throw new Error('--previous goes with exactly one file');
+        throw new Error('--previous requires exactly one file');
       }),
   handler: args => {
     process.exitCode = checkPolicyFiles(args, processOutput);
   },
 };
 
-/** Checks all files, whatever is wrong with some; the worst exit code counts. */
+/** Checks all files even if some fail; returns the highest exit code. */
 export function checkPolicyFiles(
   args: PolicyCheckArguments,
   output: CommandOutput,
@@ -51,7 +51,7 @@
   const previous =
     args.previous === undefined
       ? undefined
-      : readUsablePolicy(args.previous, output);
+      : readValidPolicy(args.previous, output);
   const codes = args.files.map(filePath =>
     checkFile(
       filePath,
@@ -79,30 +79,30 @@
       }
       return EXIT.invalid;
     case 'compiled':
-      return reportCompiled(filePath, file.compiled, previous, output);
+      return reportCompiledPolicy(filePath, file.compiled, previous, output);
   }
 }
 
-function reportCompiled(
+function reportCompiledPolicy(
   filePath: string,
   compiled: CompiledPolicy,
   previous: CompiledPolicy | undefined,
   output: CommandOutput,
 ): ExitCode {
-  const succession = previous
-    ? checkSuccession(previous.policy, compiled.policy)
+  const updateReport = previous
+    ? checkPolicyUpdate(previous.policy, compiled.policy)
     : {problems: [], warnings: []};
   const warnings = [
     ...findPolicyWarnings(compiled.policy).map(formatProblem),
-    ...succession.warnings,
+    ...updateReport.warnings,
   ];
-  for (const problem of succession.problems) {
+  for (const problem of updateReport.problems) {
     output.writeLine(`${filePath}: error: ${formatProblem(problem)}`);
   }
   for (const warning of warnings) {
     output.writeLine(`${filePath}: warning: ${warning}`);
   }
-  if (succession.problems.length > 0) return EXIT.invalid;
+  if (updateReport.problems.length > 0) return EXIT.invalid;
   output.writeLine(
     `${filePath}: ok: ${compiled.policy.deployment} version ${String(compiled.version)}, SHA-256 ${compiled.digest}`,
   );
--- a/src/cli/policy_explain_command.ts
+++ b/src/cli/policy_explain_command.ts
@@ -1,10 +1,10 @@
 /**
- * `fulmarhollow policy explain FILE`: the rules for one kind of request.
+ * `fulmarhollow policy explain FILE`: shows the rules for a request.
  */
 import type {CommandModule} from 'yargs';
 import type {CommandOutput, ExitCode} from './command_output.js';
 import {EXIT, processOutput, writeJson} from './command_output.js';
-import {readUsablePolicy} from './policy_file.js';
+import {readValidPolicy} from './policy_file.js';
 import {explainRoute, formatExplanation} from './route_explanation.js';
 import type {CompiledPolicy} from '../version/policy.js';
 
@@ -13,7 +13,7 @@
   readonly file: string;
   readonly service: string;
   readonly method: string;
-  /** Path of a request, not a pattern. */
+  /** Path of a request, not a route pattern. */
   readonly path: string;
   readonly json: boolean;
 }
@@ -60,18 +60,20 @@
   },
 };
 
-/** Prints the rules, or what the document has instead of the route. */
+/** Prints the rules, or the known services or routes if none matches. */
 export function explainRequest(
   args: PolicyExplainArguments,
   output: CommandOutput,
 ): ExitCode {
-  const compiled = readUsablePolicy(args.file, output);
+  const compiled = readValidPolicy(args.file, output);
   if (typeof compiled === 'number') return compiled;
   const method = args.method.toUpperCase();
   const [path = ''] = args.path.split('?');
   const match = compiled.findRoute(args.service, method, path);
   if (match === undefined) {
-    output.writeErrorLine(describeMiss(compiled, args.service, method, path));
+    output.writeErrorLine(
+      describeMissingRoute(compiled, args.service, method, path),
+    );
     return EXIT.invalid;
   }
   const rules = explainRoute(compiled, match);
@@ -80,7 +82,7 @@
   return EXIT.ok;
 }
 
-function describeMiss(
+function describeMissingRoute(
   compiled: CompiledPolicy,
   serviceName: string,
   method: string,
@@ -94,5 +96,5 @@
   const routes = service.routes
     .map(route => `${route.method} ${route.path}`)
     .join(', ');
-  return `no route of ${serviceName} fits ${method} ${path}; it has ${routes}`;
+  return `no route of ${serviceName} matches ${method} ${path}; it has ${routes}`;
 }
--- a/src/cli/policy_succession.ts
+++ b/src/cli/policy_update.ts
@@ -1,27 +1,27 @@
 /**
- * Checks of a policy document against the one it is to replace.
+ * Checks a policy document against the version that it replaces.
  */
 import type {Policy} from '../version/policy.js';
 import type {Problem} from '../version/problem.js';
 
-/** What keeps a document from following another, and what to know if it does. */
-export interface SuccessionReport {
+/** Problems that prevent the update, and warnings about its effects. */
+export interface PolicyUpdateReport {
   readonly problems: readonly Problem[];
   readonly warnings: readonly string[];
 }
 
-/** Compares a document with its predecessor. */
-export function checkSuccession(
+/** Compares a document with the previous version. */
+export function checkPolicyUpdate(
   previous: Policy,
   next: Policy,
-): SuccessionReport {
+): PolicyUpdateReport {
   return {
-    problems: findSuccessionProblems(previous, next),
-    warnings: warnOfZones(previous, next),
+    problems: findPolicyUpdateProblems(previous, next),
+    warnings: findZoneWarnings(previous, next),
   };
 }
 
-function findSuccessionProblems(
+function findPolicyUpdateProblems(
   previous: Policy,
   next: Policy,
 ): readonly Problem[] {
@@ -43,8 +43,8 @@
   return problems;
 }
 
-/** Hosts of a zone that is not in the document count as far away. */
-function warnOfZones(previous: Policy, next: Policy): readonly string[] {
+/** Hosts in a zone that is missing from the document are treated as remote. */
+function findZoneWarnings(previous: Policy, next: Policy): readonly string[] {
   const change = describeSetChange(zoneNames(previous), zoneNames(next));
   if (change === undefined) return [];
   return [`availability zones ${change}: hosts must be listed in the new ones`];
--- a/src/cli/route_explanation.ts
+++ b/src/cli/route_explanation.ts
@@ -1,5 +1,5 @@
 /**
- * What a policy says about one kind of request, in figures and in words.
+ * The rules of a policy for one route, as data and as text.
  */
 import type {
   CompiledPolicy,
@@ -15,7 +15,7 @@
   readonly method: string;
   readonly path: string;
   readonly className: string;
-  /** Position of the class; 1 is most important. */
+  /** Position of the class; 1 is the most important. */
   readonly classRank: number;
   readonly classesCount: number;
   /** Classes that are shed before this one. */
@@ -26,23 +26,23 @@
   readonly queueCount: number;
   readonly queueWaitMillis: number;
   readonly slotsCount: number;
-  /** Slots of one upstream that the class may use at most. */
+  /** Maximum number of slots of one upstream that the class may use. */
   readonly usableSlotsCount: number;
-  /** Share that lower classes leave free for this class. */
+  /** Share of the limit that less important classes leave free. */
   readonly reservedRatio: number;
 }
 
-const REPEAT_WORDS: Readonly<Record<PolicyRepeatRule, string>> = {
+const REPEAT_RULE_DESCRIPTIONS: Readonly<Record<PolicyRepeatRule, string>> = {
   safe: 'may be sent again, even on behalf of a request that may not',
   idempotent: 'may be sent again, unless on behalf of a request that may not',
   never:
     'is never sent again once a byte may have reached an upstream, nor is anything done on its behalf unless that is safe',
 };
 
-/** Keeps sums such as 0.1 + 0.2 from costing a slot. */
-const ROUNDING_RATIO = 1e-9;
+/** Prevents rounding errors, as in 0.1 + 0.2, from removing a slot. */
+const ROUNDING_TOLERANCE_RATIO = 1e-9;
 
-/** Collects the rules for a route. */
+/** Collects the rules that apply to a route. */
 export function explainRoute(
   compiled: CompiledPolicy,
   {service, route, classIndex}: RouteMatch,
@@ -51,7 +51,8 @@
   const reservedAbove = classes
     .slice(0, classIndex)
     .reduce((sum, {reservedRatio}) => sum + reservedRatio, 0);
-  const usableSlots = service.slotsCount * (1 - reservedAbove + ROUNDING_RATIO);
+  const usableSlots =
+    service.slotsCount * (1 - reservedAbove + ROUNDING_TOLERANCE_RATIO);
   return {
     policyVersion: compiled.version,
     service: service.name,
@@ -73,12 +74,12 @@
   };
 }
 
-/** Renders the rules, one line each. */
+/** Formats the rules, one line each. */
 export function formatExplanation(rules: RouteExplanation): readonly string[] {
   return [
     `${rules.method} ${rules.path} of ${rules.service} is route ${rules.route} (policy version ${String(rules.policyVersion)})`,
     `class:    ${describeClass(rules)}`,
-    `repeat:   ${rules.repeat}: ${REPEAT_WORDS[rules.repeat]}`,
+    `repeat:   ${rules.repeat}: ${REPEAT_RULE_DESCRIPTIONS[rules.repeat]}`,
     `retries:  ${describeRetries(rules)}`,
     `deadline: ${String(rules.deadlineMillis)} ms after entry, or the caller's own timeout if that is shorter`,
     `queue:    at most ${String(rules.queueCount)} calls wait at one upstream, none longer than ${String(rules.queueWaitMillis)} ms`,
@@ -87,9 +88,9 @@
 }
 
 function describeClass(rules: RouteExplanation): string {
-  const place = `${rules.className}, ${String(rules.classRank)} of ${String(rules.classesCount)} (1 is most important)`;
-  if (rules.lessImportantClasses.length === 0) return `${place}; shed first`;
-  return `${place}; shed only after ${rules.lessImportantClasses.join(', ')}`;
+  const rank = `${rules.className}, ${String(rules.classRank)} of ${String(rules.classesCount)} (1 is most important)`;
+  if (rules.lessImportantClasses.length === 0) return `${rank}; shed first`;
+  return `${rank}; shed only after ${rules.lessImportantClasses.join(', ')}`;
 }
 
 function describeRetries(rules: RouteExplanation): string {
--- a/src/cli/state_command.ts
+++ b/src/cli/state_command.ts
@@ -1,12 +1,12 @@
 /**
- * `fulmarhollow state HOST...`: state of running nodes as a table or JSON.
+ * `fulmarhollow state HOST...`: shows the state of running nodes.
  */
 import type {CommandModule} from 'yargs';
 
 import {BaseError, describeError} from '../base/errors.js';
 import type {AdminAddress} from './admin_client.js';
 import {fetchAdminJson, parseAdminAddress} from './admin_client.js';
-import {formatStateTable, stateRows} from './state_table.js';
+import {formatStateTable, toStateRows} from './state_table.js';
 
 /** Arguments of the command. */
 export interface StateArguments {
@@ -15,13 +15,13 @@
   readonly json: boolean;
 }
 
-/** Receives the lines the command prints. */
+/** Receives the lines that the command prints. */
 export interface StateOutput {
   writeLine(line: string): void;
   writeErrorLine(line: string): void;
 }
 
-/** State of one node, or why it could not be read. */
+/** State of one node, or the reason why it could not be read. */
 type HostState =
   | {
       readonly kind: 'read';
@@ -36,7 +36,7 @@
     };
 
 const EXIT_UNREACHABLE = 1;
-const HOSTS_AT_ONCE_COUNT = 16;
+const MAX_CONCURRENT_HOSTS_COUNT = 16;
 
 /** The command for yargs. */
 export const stateCommand: CommandModule<object, StateArguments> = {
@@ -69,7 +69,10 @@
   },
 };
 
-/** Reads and prints the state of all hosts; resolves with the exit code. */
+/**
+ * Reads and prints the state of all hosts; resolves with the exit code, which is
+ * 1 if a host could not be read.
+ */
 export async function showState(
   args: StateArguments,
   output: StateOutput,
@@ -83,16 +86,20 @@
   return unreachable.length > 0 ? EXIT_UNREACHABLE : 0;
 }
 
-/** Reads a few hosts at a time, so that a whole fleet can be named. */
+/** Reads hosts in batches, which limits open connections for large fleets. */
 async function readStates(
   hosts: readonly AdminAddress[],
   section: string | undefined,
 ): Promise<readonly HostState[]> {
   const states: HostState[] = [];
-  for (let start = 0; start < hosts.length; start += HOSTS_AT_ONCE_COUNT) {
-    const group = hosts.slice(start, start + HOSTS_AT_ONCE_COUNT);
-    const read = group.map(host => readState(host, section));
-    states.push(...(await Promise.all(read)));
+  for (
+    let start = 0;
+    start < hosts.length;
+    start += MAX_CONCURRENT_HOSTS_COUNT
+  ) {
+    const batch = hosts.slice(start, start + MAX_CONCURRENT_HOSTS_COUNT);
+    const reads = batch.map(host => readState(host, section));
+    states.push(...(await Promise.all(reads)));
   }
   return states;
 }
@@ -118,7 +125,7 @@
 
 function formatTable(states: readonly HostState[]): string {
   const rows = states.flatMap(state =>
-    state.kind === 'read' ? stateRows(state.host, state.sections) : [],
+    state.kind === 'read' ? toStateRows(state.host, state.sections) : [],
   );
   return formatStateTable(rows);
 }
--- a/src/cli/trace_command.ts
+++ b/src/cli/trace_command.ts
@@ -1,10 +1,10 @@
 /**
- * `fulmarhollow trace ID [FILE...]`: what the logs of nodes say of one request.
+ * `fulmarhollow trace ID [FILE...]`: shows the log lines of one request.
  */
 import type {Readable} from 'node:stream';
 import type {CommandModule} from 'yargs';
 import {describeError} from '../base/errors.js';
-import {ID_SEPARATOR, parseLogLine, readLogLines} from './log_lines.js';
+import {REQUEST_ID_SEPARATOR, parseLogLine, readLogLines} from './log_lines.js';
 
 /** Arguments of the command. */
 export interface TraceArguments {
@@ -12,16 +12,16 @@
   readonly files: readonly string[];
 }
 
-/** One line of a log that concerns the request. */
+/** A log line about the request or one of its calls. */
 export interface TracedLine {
   readonly time: string;
   readonly node: string;
   readonly event: string;
-  /** Other fields, as `name=value`. */
+  /** The other fields as `name=value`, separated by spaces. */
   readonly fields: string;
 }
 
-/** Fields that every line has, and those shown apart. */
+/** Fields that every line has, and fields printed in their own columns. */
 const HIDDEN_FIELDS: ReadonlySet<string> = new Set([
   'name',
   'hostname',
@@ -61,7 +61,7 @@
   },
 };
 
-/** Prints the lines in the order of their time; resolves with the exit code. */
+/** Prints the lines ordered by time; resolves with the exit code. */
 export async function printTrace(
   args: TraceArguments,
   input: Readable,
@@ -69,7 +69,7 @@
 ): Promise<number> {
   let lines: readonly TracedLine[];
   try {
-    lines = await findLines(args, input);
+    lines = await findTracedLines(args, input);
   } catch (error) {
     writeLine(describeError(error));
     return EXIT_UNREADABLE;
@@ -79,29 +79,35 @@
   }
   if (lines.length > 0) return 0;
   writeLine(
-    `No line names ${args.id}; lines beyond a node's bound are left out, see suppressedCount.`,
+    `No log line found for ${args.id}; nodes suppress lines beyond their rate limit, see suppressedCount.`,
   );
   return EXIT_NOTHING_FOUND;
 }
 
-async function findLines(
+async function findTracedLines(
   args: TraceArguments,
   input: Readable,
 ): Promise<readonly TracedLine[]> {
   const found: TracedLine[] = [];
   for await (const text of readLogLines(args.files, input)) {
-    const traced = traceLine(text, args.id);
+    const traced = parseTracedLine(text, args.id);
     if (traced !== undefined) found.push(traced);
   }
   return found.sort((a, b) => (a.time < b.time ? -1 : 1));
 }
 
-/** The line if it concerns the request or a call made for it. */
-export function traceLine(text: string, id: string): TracedLine | undefined {
+/** Parses a line; undefined if it is not about the request or its calls. */
+export function parseTracedLine(
+  text: string,
+  id: string,
+): TracedLine | undefined {
   if (!text.includes(id)) return undefined;
   const line = parseLogLine(text);
   if (line === undefined) return undefined;
-  if (!concerns(line['requestId'], id) && !concerns(line['rootId'], id)) {
+  if (
+    !isRequestOrCallId(line['requestId'], id) &&
+    !isRequestOrCallId(line['rootId'], id)
+  ) {
     return undefined;
   }
   return {
@@ -115,7 +121,7 @@
   };
 }
 
-function concerns(value: unknown, id: string): boolean {
+function isRequestOrCallId(value: unknown, id: string): boolean {
   if (typeof value !== 'string') return false;
-  return value === id || value.startsWith(`${id}${ID_SEPARATOR}`);
+  return value === id || value.startsWith(`${id}${REQUEST_ID_SEPARATOR}`);
 }
--- a/test/contract/operator_console.test.ts
+++ b/test/contract/operator_console.test.ts
@@ -1,6 +1,6 @@
 /**
- * Contract between operators' browsers and the console: only its own pages are
- * listened to, and only a valid document ever leaves it.
+ * Contract between operators' browsers and the console: it accepts requests only
+ * from its own pages and saves only valid documents.
  */
 import {existsSync, readFileSync} from 'node:fs';
 import * as http from 'node:http';
@@ -13,13 +13,13 @@
 import {compileOrThrow, createPolicyBytes} from '../fakes/policy_documents.js';
 import {createFileWriter} from '../fakes/temporary_files.js';
 
-interface Answer {
+interface PageResponse {
   readonly statusCode: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
 }
 
-interface Call {
+interface PageRequest {
   readonly page?: string;
   readonly token?: string;
   readonly method?: string;
@@ -33,11 +33,11 @@
 async function startConsole(t: ExecutionContext, fileContent?: string) {
   const writeFile = createFileWriter(t);
   const outputFile = writeFile('existing.json', fileContent ?? '') + '.out';
-  const takenFile = outputFile.slice(0, -'.out'.length);
+  const existingFile = outputFile.slice(0, -'.out'.length);
   const previous = compileOrThrow(createPolicyBytes(PREVIOUS_VERSION));
   const session = createConsoleSession({
     previous,
-    outputFile: fileContent === undefined ? outputFile : takenFile,
+    outputFile: fileContent === undefined ? outputFile : existingFile,
   });
   const server = await createConsoleServer({
     session,
@@ -46,20 +46,21 @@
   });
   t.teardown(() => server.dispose());
   const url = new URL(server.url);
-  const send = (call: Call) => sendCall(url, call);
+  const send = (params: PageRequest) => sendRequest(url, params);
   const {body} = await send({});
-  return {url, send, outputFile, takenFile, fields: readFields(body)};
+  return {url, send, outputFile, existingFile, fields: readFields(body)};
 }
 
-function sendCall(url: URL, call: Call): Promise<Answer> {
-  const token = call.token ?? url.pathname.split('/')[1] ?? '';
+function sendRequest(url: URL, params: PageRequest): Promise<PageResponse> {
+  const token = params.token ?? url.pathname.split('/')[1] ?? '';
   return new Promise((resolve, reject) => {
     const request = http.request({
       host: url.hostname,
       port: url.port,
-      path: `/${token}/${call.page ?? ''}`,
-      method: call.method ?? (call.body === undefined ? 'GET' : 'POST'),
-      headers: call.headers ?? (call.body === undefined ? {} : FORM_HEADERS),
+      path: `/${token}/${params.page ?? ''}`,
+      method: params.method ?? (params.body === undefined ? 'GET' : 'POST'),
+      headers:
+        params.headers ?? (params.body === undefined ? {} : FORM_HEADERS),
       agent: false,
     });
     request.on('error', reject);
@@ -74,19 +75,19 @@
         }),
       );
     });
-    request.end(call.body);
+    request.end(params.body);
   });
 }
 
 interface Fault {
   readonly name: string;
   readonly statusCode: number;
-  /** Makes a save that fails from one that would succeed. */
-  readonly change: (fields: URLSearchParams, port: string) => Call;
+  /** Turns a valid save request into one that fails. */
+  readonly change: (fields: URLSearchParams, port: string) => PageRequest;
 }
 
-/** A save with one deviation in its fields. */
-function changedForm(
+/** A save request with changed fields. */
+function withFields(
   change: (fields: URLSearchParams) => void,
 ): Fault['change'] {
   return fields => {
@@ -116,7 +117,7 @@
     change: fields => ({token: 'A'.repeat(43), body: fields.toString()}),
   },
   {
-    name: 'a host name that another page made resolve to loopback',
+    name: 'a host name of another site that resolves to loopback (DNS rebinding)',
     statusCode: 403,
     change: withHeaders(port => ({host: `console.example:${port}`})),
   },
@@ -167,63 +168,63 @@
   },
   {name: 'an empty form', statusCode: 400, change: () => ({body: ''})},
   {
-    name: 'a broken encoding',
+    name: 'an invalid encoding',
     statusCode: 400,
     change: fields => ({body: `${fields.toString()}&action=%ff`}),
   },
   {
-    name: 'a form that was cut off',
+    name: 'a truncated form',
     statusCode: 400,
     change: fields => ({body: fields.toString().slice(0, -200)}),
   },
   {
     name: 'an unknown field',
     statusCode: 400,
-    change: changedForm(fields => fields.append('timing.drainSeconds', '1')),
+    change: withFields(fields => fields.append('timing.drainSeconds', '1')),
   },
   {
     name: 'a field that names the prototype',
     statusCode: 400,
-    change: changedForm(fields => fields.append('__proto__.version', '1')),
+    change: withFields(fields => fields.append('__proto__.version', '1')),
   },
   {
-    name: 'a field that is there twice',
+    name: 'a duplicate field',
     statusCode: 400,
-    change: changedForm(fields => fields.append('version', '7')),
+    change: withFields(fields => fields.append('version', '7')),
   },
   {
     name: 'fewer items than are counted',
     statusCode: 400,
-    change: changedForm(fields => fields.set('classes.count', '999999')),
+    change: withFields(fields => fields.set('classes.count', '999999')),
   },
   {
     name: 'more items than are counted',
     statusCode: 400,
-    change: changedForm(fields => fields.set('classes.count', '1')),
+    change: withFields(fields => fields.set('classes.count', '1')),
   },
   {
     name: 'an invalid value',
     statusCode: 422,
-    change: changedForm(fields => fields.set('timing.drainMillis', '1 s')),
+    change: withFields(fields => fields.set('timing.drainMillis', '1 s')),
   },
   {
-    name: 'values that do not fit together',
+    name: 'inconsistent values',
     statusCode: 422,
-    change: changedForm(fields =>
+    change: withFields(fields =>
       fields.set('services.0.connectionsCount', '1'),
     ),
   },
   {
     name: 'the version of the previous document',
     statusCode: 422,
-    change: changedForm(fields =>
+    change: withFields(fields =>
       fields.set('version', String(PREVIOUS_VERSION)),
     ),
   },
   {
     name: 'another deployment',
     statusCode: 422,
-    change: changedForm(fields => fields.set('deployment', 'elsewhere')),
+    change: withFields(fields => fields.set('deployment', 'elsewhere')),
   },
 ];
 
@@ -231,8 +232,8 @@
   test(`${name}: ${String(statusCode)}, and nothing is saved`, async t => {
     const {url, send, outputFile, fields} = await startConsole(t);
     const valid = fields.toString();
-    const answer = await send({page: 'save', ...change(fields, url.port)});
-    t.is(answer.statusCode, statusCode, answer.body);
+    const response = await send({page: 'save', ...change(fields, url.port)});
+    t.is(response.statusCode, statusCode, response.body);
     t.false(existsSync(outputFile));
     t.is((await send({page: 'document'})).statusCode, 404);
     const after = await send({page: 'save', body: valid});
@@ -241,7 +242,7 @@
   });
 }
 
-test('what is saved is the document of the forms, once per version', async t => {
+test('the document of the forms is saved, once per version', async t => {
   const {url, send, outputFile, fields} = await startConsole(t);
   fields.set('timing.drainMillis', '12345');
   const headers = {
@@ -265,8 +266,8 @@
   t.is(readFields(saved.body).get('version'), '7');
 });
 
-const takenFiles: readonly (readonly [name: string, content: string])[] = [
-  ['is no policy document', 'notes of the operator'],
+const existingFiles: readonly (readonly [name: string, content: string])[] = [
+  ['is not a policy document', 'notes of the operator'],
   ['holds a newer version', new TextDecoder().decode(createPolicyBytes(9))],
   [
     'holds another deployment',
@@ -278,16 +279,16 @@
   ],
 ];
 
-for (const [name, content] of takenFiles) {
+for (const [name, content] of existingFiles) {
   test(`a file that ${name} is not overwritten`, async t => {
-    const {send, takenFile, fields} = await startConsole(t, content);
-    const answer = await send({page: 'save', body: fields.toString()});
-    t.is(answer.statusCode, 422);
-    t.is(readFileSync(takenFile, 'utf8'), content);
+    const {send, existingFile, fields} = await startConsole(t, content);
+    const response = await send({page: 'save', body: fields.toString()});
+    t.is(response.statusCode, 422);
+    t.is(readFileSync(existingFile, 'utf8'), content);
   });
 }
 
-test('problems are shown beside their fields, with what was typed', async t => {
+test('problems are shown beside their fields, with the typed text', async t => {
   const {send, fields} = await startConsole(t);
   fields.set('timing.drainMillis', '"><script>alert(1)</script>');
   fields.set('services.0.routes.0.path', '');
@@ -324,9 +325,9 @@
   t.false(existsSync(outputFile));
 });
 
-test('every answer forbids foreign scripts, frames and forms', async t => {
+test('every response forbids foreign scripts, frames and forms', async t => {
   const {send, fields} = await startConsole(t);
-  const calls: readonly Call[] = [
+  const requests: readonly PageRequest[] = [
     {},
     {page: 'console.css'},
     {page: 'live_check.js'},
@@ -335,8 +336,8 @@
     {page: 'check', body: fields.toString()},
     {page: 'save', body: ''},
   ];
-  for (const call of calls) {
-    const {headers, body} = await send(call);
+  for (const request of requests) {
+    const {headers, body} = await send(request);
     const policy = String(headers['content-security-policy']);
     t.regex(policy, /default-src 'none'/);
     t.regex(policy, /script-src 'self'/);
@@ -348,7 +349,7 @@
   }
 });
 
-test('it listens on loopback only, under a new address each time', async t => {
+test('it listens on loopback only, with a new URL each time', async t => {
   const first = await startConsole(t);
   const second = await startConsole(t);
   t.is(first.url.hostname, '127.0.0.1');
@@ -356,7 +357,7 @@
   t.true(first.url.pathname.length > 40);
 });
 
-test('a port that is taken is told', async t => {
+test('a port in use is reported', async t => {
   const {url} = await startConsole(t);
   const session = createConsoleSession({
     previous: undefined,
