--- a/src/emulator/caller.ts
+++ b/src/emulator/caller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller of the system: sends one request and judges what came back.
+ * A caller of the system: sends one request and classifies its response.
  */
 import type {Agent} from 'node:http';
 import {performance} from 'node:perf_hooks';
@@ -9,34 +9,34 @@
 import type {HttpResponse} from './http_support.js';
 import {LOOPBACK_ADDRESS, sendHttpRequest} from './http_support.js';
 
-/** One request as a caller makes it. */
+/** Options of one caller request. */
 export interface CallerRequest {
-  /** Caller listener of a node. */
+  /** Port of a node's caller listener. */
   readonly port: number;
   readonly service: string;
   readonly method: string;
   readonly path: string;
-  /** The caller's own name for the request, which the answer must repeat. */
+  /** Unique name of the request, which the response body must contain. */
   readonly name: string;
   readonly body?: Uint8Array | undefined;
-  /** How long the caller waits. */
+  /** Time until the caller aborts the request. */
   readonly timeoutMillis: number;
   readonly agent?: Agent | undefined;
 }
 
-/** What a node tells of a request that it did not answer. */
+/** Outcome that a node reports for a request that failed. */
 export type Outcome = 'not-run' | 'unknown';
 
-/** What came back. */
+/** Result of one caller request. */
 export interface CallerResult {
   readonly kind:
-    /** Whole and its own. */
+    /** Success with a complete body that belongs to the request. */
     | 'answered'
-    /** A success that is a fragment or belongs to another request. */
+    /** Success with a truncated body, or with that of another request. */
     | 'wrong'
-    /** A failure told in an answer. */
+    /** Response with an error status. */
     | 'failed'
-    /** No answer, or one that broke off. */
+    /** No response, or one that was aborted. */
     | 'broken';
   readonly statusCode: number;
   readonly outcome: Outcome | undefined;
@@ -45,13 +45,13 @@
   readonly policyVersion: number;
   readonly retryAfterMillis: number | undefined;
   readonly latencyMillis: number;
-  /** What is wrong; empty when nothing is. */
+  /** Description of the problem; empty if there is none. */
   readonly problem: string;
 }
 
 const MILLIS_PER_SECOND = 1000;
 
-/** Sends one request; never rejects. */
+/** Sends one request; failures are returned as a result of kind `broken`. */
 export async function sendCallerRequest(
   request: CallerRequest,
 ): Promise<CallerResult> {
--- a/src/emulator/demo.ts
+++ b/src/emulator/demo.ts
@@ -1,6 +1,6 @@
 /**
- * Program: a small fleet in separate processes that serves member requests and
- * orders, shows what came back, and stops.
+ * Demo program: starts a small fleet in separate processes, sends member
+ * requests and orders, prints the results and stops the fleet.
  */
 import {v7 as uuid} from 'uuid';
 import type {CallerRequest, CallerResult} from './caller.js';
@@ -20,10 +20,10 @@
 const STOP_TIMEOUT_MILLIS = 40_000;
 const CALLER_TIMEOUT_MILLIS = 5000;
 
-/** Enough that each upstream of a service gets one. */
+/** Enough reads for each upstream of a service to receive one. */
 const READS_COUNT = 8;
 
-/** A request of the demonstration and what must come back. */
+/** A request of the demo and its expected status code (200 if absent). */
 interface DemoRequest {
   readonly label: string;
   readonly host: string;
@@ -64,12 +64,12 @@
   if (problems.length > 0) process.exitCode = 1;
 }
 
-/** The example policy in two of its zones. */
+/** Reads the example policy, reduced to two of its availability zones. */
 async function createDemoPolicy(): Promise<Policy> {
   return keepZones(await readExamplePolicy('ilorin'), ZONES_COUNT);
 }
 
-/** Reads of every depth through nodes of both zones. */
+/** Sends reads of each call depth through nodes of both zones. */
 async function runReads(fleet: Fleet): Promise<readonly string[]> {
   const results = await sendAll(fleet, [
     {
@@ -113,7 +113,7 @@
   return showResults('Member requests', results);
 }
 
-/** An order whose first host is down: it goes on to another, and runs once. */
+/** Sends an order while a host is down; another host must execute it once. */
 async function runOrder(fleet: Fleet): Promise<readonly string[]> {
   await fleet.host('orderdesk-ilorin-a-1').killDaemon();
   const name = uuid();
@@ -143,7 +143,7 @@
   return [...problems, 'the order was not executed exactly once'];
 }
 
-/** Reads of which one meets an upstream that breaks the connection. */
+/** Sends reads while an upstream resets one connection; one must be retried. */
 async function runRetry(fleet: Fleet): Promise<readonly string[]> {
   await fleet
     .host('tileyard-ilorin-b-1')
@@ -211,7 +211,7 @@
   );
 }
 
-/** Executions of a path for the request of a caller's name. */
+/** Counts the executions of a path for the request with the given name. */
 async function countExecutions(
   fleet: Fleet,
   name: string,
--- a/src/emulator/emulated_platform.ts
+++ b/src/emulator/emulated_platform.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for the platform's configuration service: two documents that can
- * only be read and watched, behind one or more fronts that fail independently.
+ * Emulates the platform's configuration service: two documents that nodes read
+ * and watch, behind one or more fronts that fail independently.
  */
 import * as http from 'node:http';
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -16,31 +16,31 @@
   trackSockets,
 } from './http_support.js';
 
-/** The two documents the platform publishes. */
+/** The documents that the platform publishes. */
 export type DocumentName = 'policy' | 'hosts';
 
-/** How a front answers. */
+/** How a front responds. */
 export type PlatformFaultMode =
   | 'up'
-  /** Connections are closed as soon as they are opened. */
+  /** Connections are closed as soon as they are accepted. */
   | 'refuse'
-  /** Requests are read and never answered. */
+  /** Requests are accepted but receive no response. */
   | 'hang'
-  /** Requests are answered with 500. */
+  /** Requests receive status 500. */
   | 'error'
-  /** Answers break off in the middle of the document. */
+  /** Responses are aborted in the middle of the document. */
   | 'truncate';
 
 /** Fault state of one front. */
 export interface PlatformFault {
   readonly mode: PlatformFaultMode;
-  /** Serves the documents as they were when staleness began. */
+  /** Serves the documents that were current when this was set. */
   readonly isStale: boolean;
-  /** Added before each answer. */
+  /** Delay before each response. */
   readonly delayMillis: number;
 }
 
-/** Calls by kind; a waiting watch counts as one. */
+/** Counts of calls; a watch counts as one call, however long it waits. */
 export interface PlatformCounts {
   readonly callsCount: number;
   readonly readsCount: number;
@@ -48,13 +48,13 @@
   readonly failedCount: number;
 }
 
-/** An address readers use; one for each availability zone in larger set-ups. */
+/** An endpoint of the platform; fleets use one for each availability zone. */
 export interface PlatformFrontOptions {
   readonly name: string;
   readonly port: number;
 }
 
-/** What to listen on; port 0 lets the system choose. */
+/** Options of the platform; port 0 selects any free port. */
 export interface EmulatedPlatformOptions {
   readonly address?: string | undefined;
   /** Port of the front named `main`. */
@@ -64,15 +64,21 @@
   readonly fronts?: readonly PlatformFrontOptions[] | undefined;
 }
 
-/** A running stand-in. */
+/** A running emulated platform. */
 export interface EmulatedPlatform {
   /** Port of the front `main`. */
   readonly port: number;
   readonly controlPort: number;
   readonly frontPorts: ReadonlyMap<string, number>;
-  /** Publishes a document exactly as given; `version` overrides its own. */
+  /**
+   * Publishes bytes without checking them and returns their version: `version`,
+   * the version stated in the document, or the next one.
+   */
   publish(name: DocumentName, bytes: Uint8Array, version?: number): number;
-  /** Changes the fault state of one front, or of all for `all`. */
+  /**
+   * Changes the fault state of one front, or of each front for `all`; throws an
+   * InvalidInputError for an unknown name.
+   */
   setFault(frontName: string, fault: Partial<PlatformFault>): void;
   counts(): PlatformCounts;
   close(): Promise<void>;
@@ -89,7 +95,7 @@
   readonly server: http.Server;
   readonly sockets: ReadonlySet<Socket>;
   fault: PlatformFault;
-  /** Documents served while stale. */
+  /** Documents served while the front is stale. */
   staleDocuments: Documents | undefined;
 }
 
@@ -99,7 +105,7 @@
   delayMillis: 0,
 };
 
-/** Longest wait a watch may ask for. */
+/** Upper limit of the wait time that a watch requests. */
 const MAXIMUM_WAIT_MILLIS = 120_000;
 
 const DOCUMENT_PATHS: ReadonlyMap<string, DocumentName> = new Map([
@@ -107,7 +113,7 @@
   ['/v1/hosts', 'hosts'],
 ]);
 
-/** Starts a stand-in platform without documents. */
+/** Starts an emulated platform without documents. */
 export async function createEmulatedPlatform(
   options: EmulatedPlatformOptions,
 ): Promise<EmulatedPlatform> {
@@ -305,7 +311,7 @@
   };
 }
 
-/** Version a document states about itself; undefined for a broken document. */
+/** Returns the version stated in a document, or undefined if it has none. */
 function versionOf(name: DocumentName, bytes: Uint8Array): number | undefined {
   try {
     const content = JSON.parse(Buffer.from(bytes).toString()) as {
--- a/src/emulator/emulated_upstream.ts
+++ b/src/emulator/emulated_upstream.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for an upstream: executes requests in slots, calls deeper into the
- * graph through its own node, and misbehaves on request.
+ * Emulates an upstream: executes requests in slots, makes downstream calls
+ * through the node on its host, and injects faults.
  */
 import * as http from 'node:http';
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -36,7 +36,7 @@
 } from './upstream_config.js';
 import {findUpstreamRoute} from './upstream_config.js';
 
-/** Counters since the start. */
+/** Counters since the start of the upstream. */
 export interface UpstreamCounts {
   readonly receivedCount: number;
   readonly startedCount: number;
@@ -47,37 +47,37 @@
   readonly waitingCount: number;
   readonly peakInProgressCount: number;
   readonly openConnectionsCount: number;
-  /** Calls that came back with a body that is not whole or not their own. */
+  /** Calls whose response body was truncated or belonged to another request. */
   readonly wrongAnswersCount: number;
 }
 
-/** A running stand-in. */
+/** A running emulated upstream. */
 export interface EmulatedUpstream {
   readonly port: number;
   readonly controlPort: number;
   readonly record: ExecutionRecord;
-  /** Changes the named parts of the behaviour. */
+  /** Replaces the given fields of the fault; others keep their values. */
   setFault(fault: Partial<UpstreamFault>): void;
-  /** Lets held answers go. */
+  /** Releases the responses that are held now. */
   releaseHeldResponses(): void;
   counts(): UpstreamCounts;
   close(): Promise<void>;
 }
 
-/** One request as the upstream sees it. */
+/** A request that the upstream has received completely. */
 interface IncomingRequest {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly url: URL;
   readonly name: string;
   readonly body: Buffer;
-  /** Fires when the client has gone away before the answer's end. */
+  /** Fires when the client disconnects before the end of the response. */
   readonly signal: AbortSignal;
 }
 
 const DEFAULT_QUEUE_COUNT = 10_000;
 
-/** Starts a stand-in upstream. */
+/** Starts an emulated upstream. */
 export async function createEmulatedUpstream(
   config: UpstreamConfig,
 ): Promise<EmulatedUpstream> {
@@ -249,8 +249,8 @@
   if (config.connectionsCount !== undefined) {
     server.maxConnections = config.connectionsCount;
   }
-  // Kept open longer than any node keeps an idle connection, so that closing
-  // an idle connection is the node's decision in every run.
+  // Longer than the idle timeout of any node, so that idle connections are
+  // always closed by the node.
   server.keepAliveTimeout = 600_000;
 
   const readCounts = (): UpstreamCounts => ({
@@ -303,7 +303,7 @@
   };
 }
 
-/** Rejects when the client goes away; never resolves. */
+/** Rejects when the signal fires; never resolves. */
 function waitForAbort(signal: AbortSignal): Promise<never> {
   return new Promise((_, reject) => {
     const onAbort = (): void => {
--- a/src/emulator/execution_record.ts
+++ b/src/emulator/execution_record.ts
@@ -1,69 +1,72 @@
 /**
- * An upstream's own record of what it executed, the truth that outcomes told
- * to callers are compared with.
+ * An upstream's record of the requests it executed, against which tests check
+ * the outcomes that nodes report to callers.
  */
 
 /** One execution; times are Unix milliseconds. */
 export interface Execution {
   readonly sequence: number;
-  /** Name the client gave its request, see REQUEST_PARAMETER. */
+  /** Name that the client gave the request, see REQUEST_PARAMETER. */
   readonly request: string;
   readonly method: string;
   /** Path without the query string. */
   readonly path: string;
   readonly startMillis: number;
   endMillis: number | undefined;
-  /** Whether the work was done to its end, whatever became of the answer. */
+  /** Whether the work was completed, even if the response was not delivered. */
   isComplete: boolean;
-  /** Whether a whole answer, success or error, was handed to the connection. */
+  /** Whether a complete response, success or error, was written to the socket. */
   isAnswered: boolean;
-  /** Whether the client's disconnection stopped the work. */
+  /** Whether the work was cancelled because the client disconnected. */
   isCancelled: boolean;
   /**
-   * Calls made on the request's behalf, the application's own repeats
-   * included, counted by `callTarget`.
+   * Downstream calls made for the request, including the application's own
+   * retries, counted by `callTargetKey`.
    */
   readonly calls: Record<string, number>;
 }
 
-/** Names the service and path that a call goes to. */
+/** Returns the key under which calls to a service and path are counted. */
 export function callTargetKey(service: string, path: string): string {
   return `${service} ${path}`;
 }
 
-/** A request that reached an upstream, executed or not. */
+/** Number of times a request reached an upstream, executed or not. */
 export interface ArrivalCount {
   readonly request: string;
   readonly path: string;
   readonly count: number;
 }
 
-/** Query parameter that carries a client's name for its request. */
+/** Query parameter that carries the client's name for its request. */
 export const REQUEST_PARAMETER = 'request';
 
-/** Fields that select executions; an absent field selects all. */
+/** Filter for executions; an absent field matches all. */
 export interface ExecutionFilter {
   readonly request?: string | undefined;
   readonly path?: string | undefined;
 }
 
-/** What a new execution is known by. */
+/** Fields that identify a new execution. */
 export type ExecutionStart = Pick<Execution, 'request' | 'method' | 'path'>;
 
-/** Executions in order of start. */
+/** Executions in the order in which they were started. */
 export interface ExecutionRecord {
   start(start: ExecutionStart): Execution;
   find(filter: ExecutionFilter): readonly Execution[];
-  /** Counts a request at its arrival, before anything is decided about it. */
+  /** Counts a request when it arrives, before it is executed or rejected. */
   recordArrival(request: string, path: string): void;
   arrivals(): readonly ArrivalCount[];
   clear(): void;
 }
 
-/** Executions kept; an emulated run never comes near it. */
+/** Maximum number of executions; far above that of any emulated run. */
 const MAXIMUM_EXECUTIONS_COUNT = 1_000_000;
 
-/** Creates an empty record; throws when full rather than forget. */
+/**
+ * Creates an empty record. `start` throws a RangeError when the record is full
+ * instead of evicting executions.
+ */
 export function createExecutionRecord(
   maximumCount = MAXIMUM_EXECUTIONS_COUNT,
 ): ExecutionRecord {
--- a/src/emulator/fault_state.ts
+++ b/src/emulator/fault_state.ts
@@ -1,19 +1,19 @@
 /**
- * The fault that a stand-in for an upstream shows at the moment.
+ * The fault that an emulated upstream currently injects.
  */
 import type {FaultMode, UpstreamFault} from './upstream_config.js';
 import {NO_FAULT} from './upstream_config.js';
 
-/** Fault of one stand-in. */
+/** Fault of one emulated upstream. */
 export interface FaultState {
   current(): UpstreamFault;
-  /** Changes the named parts. */
+  /** Replaces the given fields; others keep their values. */
   set(change: Partial<UpstreamFault>): void;
-  /** Takes the fault for one request, using up its remaining count. */
+  /** Returns the mode for one request and decrements the remaining count. */
   consumeMode(path: string): FaultMode;
 }
 
-/** Creates a switch without a fault. */
+/** Creates a state without a fault. */
 export function createFaultState(): FaultState {
   let fault = NO_FAULT;
   return {
--- a/src/emulator/faulty_link.ts
+++ b/src/emulator/faulty_link.ts
@@ -1,28 +1,28 @@
 /**
- * A TCP relay in front of one listener that can lose track of connections: cut
- * off chosen sources, fall silent and heal.
+ * A TCP relay in front of one listener that injects network faults: it can
+ * partition chosen sources, drop or reset connections and limit bandwidth.
  */
 import {connect, createServer} from 'node:net';
 import type {Socket} from 'node:net';
 import {LOOPBACK_ADDRESS, listen} from './http_support.js';
 
-/** What a link does with the connections of a source. */
+/** How a link treats the connections of a source. */
 export type LinkMode =
   | 'open'
-  /** Accepts and keeps connections, carries nothing, closes nothing. */
+  /** Accepts connections and keeps them open, but forwards no data. */
   | 'silent'
   /** Resets connections. */
   | 'reset';
 
-/** Tells which source a connection comes from, by its remote port. */
+/** Resolves the source of a connection from its remote port. */
 export type SourceResolver = (remotePort: number) => Promise<string>;
 
-/** Where a link leads and who uses it. */
+/** Options of a link. */
 export interface FaultyLinkOptions {
   readonly targetAddress?: string | undefined;
-  /** Changed by `retarget` when the listener behind it moves. */
+  /** Initial port of the listener; `retarget` changes it. */
   readonly targetPort: number;
-  /** Without it every connection has the source `any`. */
+  /** If absent, every connection has the source `any`. */
   readonly resolveSource?: SourceResolver | undefined;
 }
 
@@ -31,21 +31,24 @@
   /** Port that clients connect to. */
   readonly port: number;
   retarget(port: number): void;
-  /** Sets the mode for one source, existing and new connections alike. */
+  /** Sets the mode of one source, for existing and new connections. */
   setMode(source: string, mode: LinkMode): void;
-  /** Sets the mode for sources without one of their own. */
+  /** Sets the mode of all sources without a mode of their own. */
   setDefaultMode(mode: LinkMode): void;
   /**
-   * Bounds what each connection carries in each direction, from its next bytes on;
-   * without a figure there is no bound.
+   * Limits the bandwidth of each connection in each direction, starting with
+   * the next chunk; undefined removes the limit.
    */
   setBandwidth(bytesPerSecond: number | undefined): void;
   /**
-   * Opens or closes the listener. Without one, connecting is refused, as it is
-   * by a host whose process has ended.
+   * Opens or closes the listener. While it is closed, connections are refused,
+   * as by a host whose process has exited.
    */
   setAccepting(isAccepting: boolean): Promise<void>;
-  /** Silences all connections open now, for good; new ones work. */
+  /**
+   * Stops forwarding on all connections that are open now, permanently; new
+   * connections work. Returns the number of stalled connections.
+   */
   stallOpenConnections(): number;
   openConnectionsCount(): number;
   close(): void;
@@ -53,14 +56,14 @@
 
 const MILLIS_PER_SECOND = 1000;
 
-/** Source of connections that nothing tells apart. */
+/** Source of all connections of a link without a source resolver. */
 export const ANY_SOURCE = 'any';
 
 interface Relay {
   readonly source: string;
   readonly clientSocket: Socket;
   readonly targetSocket: Socket;
-  /** Stays silent even after the link healed. */
+  /** The relay stays silent even if the mode of its source is `open`. */
   isStalled: boolean;
 }
 
@@ -85,7 +88,7 @@
       relay.clientSocket.pause();
       relay.targetSocket.pause();
     } else if (relay.clientSocket.destroyed || relay.targetSocket.destroyed) {
-      // One side ended while the link was silent; now the other learns it.
+      // One side closed while the link was silent; reset the other side now.
       resetRelay(relay);
     } else {
       relay.clientSocket.resume();
@@ -109,7 +112,7 @@
     applyMode(relay);
   };
 
-  /** Carries one direction; an end or error passes on unless silent. */
+  /** Forwards one direction, and its end or error unless the link is silent. */
   const forwardData = (relay: Relay, from: Socket, to: Socket): void => {
     const write = (chunk: Buffer): void => {
       if (to.write(chunk)) return;
@@ -134,11 +137,11 @@
     });
     from.on('end', () => to.end());
     from.on('error', () => {
-      // Ends in 'close', which decides what the other side learns.
+      // Followed by 'close', which propagates the error to the other side.
     });
     from.on('close', hadError => {
       const isSilent = relay.isStalled || modeOf(relay.source) === 'silent';
-      // Whoever lost track of a connection does not tell of its end either.
+      // A silent link does not forward the end of a connection either.
       if (isSilent) return;
       relays.delete(relay);
       if (hadError) to.resetAndDestroy();
@@ -157,7 +160,7 @@
     clientSocket => {
       unresolvedSockets.add(clientSocket);
       clientSocket.on('error', () => {
-        // Handled by 'close' once relayed.
+        // Followed by 'close', which is handled once the relay is open.
       });
       const resolveSource = options.resolveSource;
       const resolved =
--- a/src/emulator/fleet_host.ts
+++ b/src/emulator/fleet_host.ts
@@ -1,6 +1,6 @@
 /**
- * One host of an emulated fleet: its daemon, its upstream and the links in
- * front of them.
+ * One host of an emulated fleet: its daemon, its upstream and the fault
+ * injecting links in front of them.
  */
 import {writeFile} from 'node:fs/promises';
 import {join} from 'node:path';
@@ -16,7 +16,7 @@
 import type {UpstreamCounts} from './emulated_upstream.js';
 import type {UpstreamFault, UpstreamRoute} from './upstream_config.js';
 
-/** Ports of a host that stay the same over restarts. */
+/** Ports of a host, which stay the same over restarts. */
 export interface FleetHostPorts {
   readonly caller: number;
   readonly local: number;
@@ -31,12 +31,12 @@
   readonly upstream: FaultyLink;
 }
 
-/** What a host is made of. */
+/** Options of a host. */
 export interface FleetHostOptions {
   readonly identity: HostIdentity;
   readonly directory: string;
   readonly programDirectory: string;
-  /** The product's own daemon when absent. */
+  /** `daemon/main.js` if absent. */
   readonly daemonProgram: DaemonProgram | undefined;
   readonly platformPort: number;
   readonly slotsCount: number;
@@ -45,39 +45,39 @@
   readonly links: FleetHostLinks | undefined;
 }
 
-/** A host; its upstream runs for as long as the fleet, if not told otherwise. */
+/** A host; its upstream runs until the fleet is closed or it is restarted. */
 export interface FleetHost {
   readonly identity: HostIdentity;
   readonly ports: FleetHostPorts;
   readonly links: FleetHostLinks | undefined;
-  /** The host as the platform lists it. */
+  /** Entry of the host in the platform's host list. */
   readonly hostListEntry: PublishedHost;
-  /** The daemon started last, running or not. */
+  /** The most recently started daemon process, running or exited. */
   daemon(): ManagedProcess | undefined;
   startUpstream(): Promise<void>;
   /**
-   * Kills the upstream and starts it again under its name; it holds and knows
-   * nothing of before, and only the host remembers what it had executed.
+   * Kills the upstream and starts it again under the same name, without held
+   * responses, faults or records; the host keeps the earlier executions.
    */
   restartUpstream(): Promise<void>;
   startDaemon(): Promise<void>;
-  /** SIGTERM; resolves when the daemon has ended. */
+  /** Sends SIGTERM, and SIGKILL after the timeout; resolves at the exit. */
   stopDaemon(timeoutMillis: number): Promise<ProcessExit>;
   killDaemon(): Promise<void>;
   setUpstreamFault(fault: Partial<UpstreamFault>): Promise<void>;
   releaseUpstream(): Promise<void>;
   upstreamCounts(): Promise<UpstreamCounts>;
-  /** Of all starts of the upstream. */
+  /** Executions of all processes of the upstream. */
   executions(): Promise<readonly Execution[]>;
-  /** Of all starts of the upstream. */
+  /** Arrivals at all processes of the upstream. */
   arrivals(): Promise<readonly ArrivalCount[]>;
-  /** Ends everything of this host. */
+  /** Kills the daemon, stops the upstream and closes the links. */
   close(): Promise<void>;
 }
 
 const STOP_TIMEOUT_MILLIS = 5000;
 
-/** Reserves the ports of a host. */
+/** Allocates the ports of a host; rejects when the block is used up. */
 export async function allocateHostPorts(
   block: PortBlock,
 ): Promise<FleetHostPorts> {
@@ -90,7 +90,7 @@
   };
 }
 
-/** Opens the links of a host. */
+/** Opens the links in front of a host's peer and upstream ports. */
 export async function openHostLinks(
   ports: FleetHostPorts,
   resolveSource: SourceResolver,
@@ -101,7 +101,7 @@
   };
 }
 
-/** Creates a host of which nothing runs yet. */
+/** Creates a host without starting its processes. */
 export function createFleetHost(options: FleetHostOptions): FleetHost {
   const {identity, ports, links} = options;
   let upstream: ManagedProcess | undefined;
@@ -219,7 +219,7 @@
   };
 }
 
-/** Content of the daemon's settings file. */
+/** Returns the content of the daemon's settings file. */
 function createSettings(options: FleetHostOptions): object {
   const {identity, ports, links} = options;
   const address = LOOPBACK_ADDRESS;
--- a/src/emulator/fleet_launcher.ts
+++ b/src/emulator/fleet_launcher.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a small fleet on this machine, every part a process of its own, and
- * removes every trace of it at the end.
+ * Starts a small fleet on this machine, with a process for each daemon, upstream
+ * and the platform, and removes its processes and files when closed.
  */
 import {mkdtemp, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -35,47 +35,50 @@
 /** A running fleet. */
 export interface Fleet {
   readonly hosts: ReadonlyMap<string, FleetHost>;
-  /** Throws for a name that the plan does not have. */
+  /** Throws a BaseError if the plan has no host of this name. */
   host(name: string): FleetHost;
   startDaemon(name: string): Promise<void>;
-  /** Publishes a policy under its own version, or under another one. */
+  /** Publishes a policy; `etagVersion` overrides the version it states. */
   publishPolicy(policy: Policy, etagVersion?: number): Promise<void>;
-  /** Publishes bytes that need not be a valid policy. */
+  /** Publishes bytes as the policy without checking them. */
   publishPolicyBytes(bytes: Uint8Array, version: number): Promise<void>;
-  /** Publishes the hosts with these states; others are left out. */
+  /** Publishes a host list that contains only the given hosts. */
   publishHosts(
     states: ReadonlyMap<string, PublishedHostState>,
   ): Promise<HostList>;
   publishedStates(): ReadonlyMap<string, PublishedHostState>;
-  /** Fronts of the platform are named like availability zones. */
+  /** `frontName` is the name of an availability zone, or `all`. */
   setPlatformFault(
     frontName: string,
     fault: Partial<PlatformFault>,
   ): Promise<void>;
   platformCounts(): Promise<PlatformCounts>;
-  /** Changes what links between two availability zones do, both ways. */
+  /** Sets the link mode between two availability zones, in both directions. */
   setZoneLinkMode(zoneA: string, zoneB: string, mode: LinkMode): void;
-  /** Version in force at a host; 0 when it has none or does not answer. */
+  /** Version in force at a host; 0 if it has none or does not respond. */
   versionInForce(name: string): Promise<number>;
-  /** `NO_POLICY` when the host has none or does not answer. */
+  /** Policy in force; `NO_POLICY` if the host has none or does not respond. */
   policyInForce(name: string): Promise<PolicyInForce>;
   isReady(name: string): Promise<boolean>;
-  /** Waits until each host is ready in turn, all published ones by default. */
+  /**
+   * Waits for the hosts one after another, each with the full timeout; by
+   * default for all published hosts. Rejects if a host is not ready in time.
+   */
   waitUntilReady(
     timeoutMillis: number,
     names?: readonly string[],
   ): Promise<void>;
-  /** Kills and removes everything; stop daemons first for a planned end. */
+  /** Kills the daemons, ends the other processes and removes all files. */
   close(): Promise<void>;
 }
 
-/** The policy that a host goes by. */
+/** Version and digest of the policy in force at a host. */
 export interface PolicyInForce {
   readonly version: number;
   readonly digest: string;
 }
 
-/** What a host without a policy goes by. */
+/** Reported for a host without a policy. */
 export const NO_POLICY: PolicyInForce = {version: 0, digest: ''};
 
 const ADMIN_TIMEOUT_MILLIS = 1000;
@@ -84,7 +87,10 @@
 /** Directory of the compiled sources. */
 const PROGRAM_DIRECTORY = dirname(dirname(fileURLToPath(import.meta.url)));
 
-/** Starts everything but does not wait until the daemons are ready. */
+/**
+ * Starts the platform, the upstreams and the daemons, but does not wait until
+ * the daemons are ready. Rejects, after a clean-up, if a process fails to start.
+ */
 export async function launchFleet(plan: FleetPlan): Promise<Fleet> {
   const directory = await mkdtemp(join(tmpdir(), 'fulmarhollow-fleet-'));
   const block = await claimPortBlock();
@@ -131,7 +137,7 @@
   };
   const findOwner = createSocketOwnerFinder(() => [...runningDaemons().keys()]);
 
-  /** Zone of the daemon at the far end of a loopback connection. */
+  /** Zone of the daemon that opened a connection; `outside` for others. */
   const resolveZone = async (remotePort: number): Promise<string> => {
     const pid = await findOwner(remotePort);
     const host = runningDaemons().get(pid ?? 0);
@@ -185,7 +191,7 @@
     return list;
   };
 
-  /** Undefined when the host does not answer in time. */
+  /** Undefined if the host does not respond in time. */
   const sendAdminRequest = async (
     name: string,
     path: string,
@@ -291,8 +297,8 @@
 }
 
 /**
- * Like `Promise.all`, but waits for all even when one fails, so that a process
- * still starting is known by the time everything is closed.
+ * Like `Promise.all`, but waits for all tasks even if one fails, so that `close`
+ * also reaches the processes that were still starting.
  */
 async function waitForAll(tasks: readonly Promise<void>[]): Promise<void> {
   await Promise.allSettled(tasks);
--- a/src/emulator/fleet_plan.ts
+++ b/src/emulator/fleet_plan.ts
@@ -1,5 +1,5 @@
 /**
- * Description of a small fleet to start on this machine.
+ * Plan of a small fleet that runs on this machine.
  */
 import type {Policy} from '../version/policy.js';
 import type {UpstreamRoute} from './upstream_config.js';
@@ -8,31 +8,31 @@
 export interface ServicePlan {
   readonly service: string;
   readonly hostsPerZoneCount: number;
-  /** Behaviour of each of its upstreams. */
+  /** Routes that each upstream of the service serves. */
   readonly routes: readonly UpstreamRoute[];
-  /** Slots an upstream really has; those of the policy when absent. */
+  /** Actual slots of an upstream; those stated in the policy if absent. */
   readonly slotsCount?: number | undefined;
 }
 
-/** The program that runs as daemon of every host. */
+/** The program that runs as the daemon of every host. */
 export interface DaemonProgram {
-  /** JavaScript file. */
+  /** Path of a JavaScript file. */
   readonly file: string;
-  /** Arguments besides the settings file. */
+  /** Arguments before `--settings`. */
   readonly args: readonly string[];
-  /** Arguments of the runtime. */
+  /** Arguments of the Node.js runtime. */
   readonly nodeArgs?: readonly string[] | undefined;
 }
 
-/** A fleet; its availability zones are those of the policy. */
+/** A fleet; the policy defines its availability zones. */
 export interface FleetPlan {
   readonly policy: Policy;
   readonly services: readonly ServicePlan[];
-  /** Puts a relay in front of peer and upstream ports. */
+  /** Whether a FaultyLink is opened in front of peer and upstream ports. */
   readonly hasLinks: boolean;
-  /** The product's own daemon when absent. */
+  /** `daemon/main.js` if absent. */
   readonly daemonProgram?: DaemonProgram | undefined;
-  /** Hosts that are neither started nor published at first. */
+  /** Names of hosts that are initially neither started nor published. */
   readonly spareHosts?: readonly string[] | undefined;
 }
 
@@ -44,7 +44,7 @@
   readonly region: string;
 }
 
-/** Lists the hosts of a plan, named `service-zone-number` counting from 1. */
+/** Lists the hosts of a plan, named `service-zone-number` with numbers from 1. */
 export function listHosts(plan: FleetPlan): readonly HostIdentity[] {
   return plan.policy.availabilityZones.flatMap(zone =>
     plan.services.flatMap(({service, hostsPerZoneCount}) =>
--- a/src/emulator/held_responses.ts
+++ b/src/emulator/held_responses.ts
@@ -1,16 +1,17 @@
 /**
- * Answers that a stand-in for an upstream holds back until it is told to let
- * them go.
+ * Responses that an emulated upstream delays until a control request releases
+ * them.
  */
 
-/** Held answers of one stand-in. */
+/** Held responses of one emulated upstream. */
 export interface HeldResponses {
-  /** Resolves when held answers are let go, or the client has gone away. */
+  /** Resolves when `release` is called or the signal fires. */
   wait(signal: AbortSignal): Promise<void>;
+  /** Releases all responses that are held now. */
   release(): void;
 }
 
-/** Creates the record of a stand-in that holds nothing. */
+/** Creates an empty set of held responses. */
 export function createHeldResponses(): HeldResponses {
   const waiting = new Set<() => void>();
   return {
--- a/src/emulator/http_support.ts
+++ b/src/emulator/http_support.ts
@@ -1,18 +1,18 @@
 /**
- * Small HTTP helpers shared by the emulated systems: listening, reading whole
- * messages and sending one request.
+ * HTTP helpers shared by the emulated systems: listening, reading message
+ * bodies and sending requests.
  */
 import * as http from 'node:http';
 import type {AddressInfo, Server, Socket} from 'node:net';
 import {BaseError, TransportError, describeError} from '../base/errors.js';
 
-/** The only interface the emulated systems ever open. */
+/** Default address: the emulated systems use the loopback interface only. */
 export const LOOPBACK_ADDRESS = '127.0.0.1';
 
-/** Largest message the emulated systems hold in memory. */
+/** Limit of a message body that the emulated systems buffer in memory. */
 const MAXIMUM_MESSAGE_BYTES = 256 * 1024 * 1024;
 
-/** Opens a listener and resolves with the port in use. */
+/** Listens on a port (0 for any free one) and resolves with the actual port. */
 export function listen(
   server: Server,
   address: string,
@@ -27,7 +27,7 @@
   });
 }
 
-/** Closes an HTTP server together with the connections it still has. */
+/** Closes an HTTP server and all its open connections. */
 export function closeServer(server: http.Server): Promise<void> {
   return new Promise(resolve => {
     server.close(() => {
@@ -37,7 +37,7 @@
   });
 }
 
-/** Reads a message to its end; rejects when it breaks off or is too large. */
+/** Reads a message body; rejects if it is aborted or exceeds the limit. */
 export async function readBody(message: http.IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let lengthBytes = 0;
@@ -53,7 +53,7 @@
   return Buffer.concat(chunks);
 }
 
-/** Sends a JSON answer. */
+/** Sends a response with a JSON body. */
 export function sendJson(
   response: http.ServerResponse,
   statusCode: number,
@@ -67,7 +67,7 @@
   response.end(body);
 }
 
-/** One request to send. */
+/** Options of one HTTP request. */
 export interface HttpRequestOptions {
   readonly address: string;
   readonly port: number;
@@ -79,7 +79,7 @@
   readonly signal?: AbortSignal | undefined;
 }
 
-/** A complete answer. */
+/** A complete response. */
 export interface HttpResponse {
   readonly statusCode: number;
   readonly headers: http.IncomingHttpHeaders;
@@ -87,8 +87,8 @@
 }
 
 /**
- * Sends one request and reads the whole answer; rejects with a TransportError
- * when the connection fails or the answer breaks off.
+ * Sends one request and reads the complete response; rejects with a
+ * TransportError if the connection fails or the response is aborted.
  */
 export function sendHttpRequest(
   options: HttpRequestOptions,
@@ -133,7 +133,10 @@
   });
 }
 
-/** Sends a JSON document to a control port; throws unless it answers 200. */
+/**
+ * Sends JSON, or bytes as they are, to a control port and returns the parsed
+ * response; rejects with a BaseError unless the status is 200.
+ */
 export async function sendControlRequest(
   port: number,
   method: string,
@@ -163,7 +166,7 @@
   return Buffer.from(JSON.stringify(content));
 }
 
-/** Handles one request of a control port; the result is sent as JSON. */
+/** Handles one control request; the result is sent as JSON. */
 export type ControlHandler = (
   method: string,
   path: string,
@@ -171,8 +174,8 @@
 ) => unknown;
 
 /**
- * Creates a control port's server: a handler that throws answers 400 with the
- * message, one that returns undefined answers 404.
+ * Creates the server of a control port. It responds with 400 and the message if
+ * the handler throws, and with 404 if the handler returns undefined.
  */
 export function createControlServer(handler: ControlHandler): http.Server {
   return http.createServer((request, response) => {
@@ -188,13 +191,13 @@
   });
 }
 
-/** Follows a server's open connections, which `http` does not expose. */
+/** Returns a live set of a server's open connections, which `http` lacks. */
 export function trackSockets(server: Server): ReadonlySet<Socket> {
   const sockets = new Set<Socket>();
   server.on('connection', (socket: Socket) => {
     sockets.add(socket);
     socket.on('error', () => {
-      // Clients of emulated systems break connections on purpose.
+      // Clients of the emulated systems reset connections on purpose.
     });
     socket.once('close', () => sockets.delete(socket));
   });
--- a/src/emulator/ilorin_services.ts
+++ b/src/emulator/ilorin_services.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in upstreams for the services of `examples/ilorin.json`: a call graph
- * of orderdesk, tileyard, atlas and catalogue, four deep.
+ * Emulated upstreams for the services of `examples/ilorin.json`: a call graph
+ * of orderdesk, tileyard, atlas and catalogue with a depth of four.
  */
 import type {ServicePlan} from './fleet_plan.js';
 import {createRouteBuilder, createGetCall} from './service_routes.js';
@@ -14,7 +14,7 @@
   readonly catalogueMillis: number;
 }
 
-/** Short enough that a demonstration does not wait for them. */
+/** Service times short enough for a demo. */
 export const QUICK_SERVICE_TIMES: IlorinServiceTimes = {
   orderdeskMillis: 3,
   tileyardMillis: 3,
@@ -26,7 +26,7 @@
 const TILE_ANSWER_BYTES = 20_000;
 const GRID_ANSWER_BYTES = 2_000_000;
 
-/** Builds the service plans with the same number of hosts in every zone. */
+/** Creates the service plans, with the same number of hosts in each zone. */
 export function createIlorinServices(
   hostsPerZoneCount: number,
   times: IlorinServiceTimes = QUICK_SERVICE_TIMES,
--- a/src/emulator/load_generator.ts
+++ b/src/emulator/load_generator.ts
@@ -1,6 +1,6 @@
 /**
- * Open-loop load: arrivals follow their schedule whatever becomes of earlier
- * requests, as those of independent callers do.
+ * Open-loop load generator: arrivals follow their schedule regardless of the
+ * results of earlier requests, like those of independent callers.
  */
 import * as http from 'node:http';
 import {performance} from 'node:perf_hooks';
@@ -23,20 +23,20 @@
 const DEFAULT_BUCKET_MILLIS = 250;
 const MILLIS_PER_SECOND = 1000;
 
-/** One logical request. */
+/** Arrival of one request, which may need several attempts. */
 interface Arrival {
   readonly flow: LoadFlow;
   readonly recorder: FlowRecorder;
   readonly random: SeededRandom;
   /** Scheduled time on the monotonic clock. */
   readonly scheduledMillis: number;
-  /** Time since the start of the run at which it was sent first. */
+  /** Time of the first attempt since the start of the run. */
   readonly arrivedMillis: number;
 }
 
 /**
- * Runs the plan to its end, or until the signal fires, and waits for requests
- * still in progress.
+ * Runs the plan to its end, or until the signal fires, and waits for the
+ * requests that are still in progress.
  */
 export async function generateLoad(
   plan: LoadPlan,
@@ -73,7 +73,7 @@
     inProgress.add(task);
   };
 
-  /** Sends attempts until one is good or the caller gives up. */
+  /** Sends attempts until one succeeds, time runs out or no retry is left. */
   const sendWithRetries = async (arrival: Arrival): Promise<void> => {
     const {flow, recorder, random, scheduledMillis} = arrival;
     const {habits} = flow;
@@ -120,7 +120,7 @@
     flow,
     recorder: createFlowRecorder(flow),
     random: createSeededRandom(plan.seed + i),
-    // Apart from the schedule's stream, which must not depend on attempts.
+    // A separate stream, so that the schedule does not depend on the attempts.
     attemptRandom: createSeededRandom(plan.seed + plan.flows.length + i),
   }));
   const runFlow = async ({
@@ -153,7 +153,10 @@
   };
 }
 
-/** Yields arrival times of a Poisson process, from the start of the run. */
+/**
+ * Yields arrival times of a Poisson process, in milliseconds since the start of
+ * the run.
+ */
 export function* scheduleArrivals(
   phases: readonly LoadPhase[],
   ratePerSecond: number,
--- a/src/emulator/load_main.ts
+++ b/src/emulator/load_main.ts
@@ -1,6 +1,6 @@
 /**
- * Program: runs a load plan in a process of its own and prints its report as
- * one line of JSON.
+ * Load generator program: runs a load plan and prints its report as one line of
+ * JSON.
  */
 import {readFile} from 'node:fs/promises';
 import yargs from 'yargs';
--- a/src/emulator/load_plan.ts
+++ b/src/emulator/load_plan.ts
@@ -1,24 +1,24 @@
 /**
- * Description of load: flows of requests, callers' habits and phases.
+ * Load plan: flows of requests, the retry options of their callers and phases.
  */
 
-/** How a caller goes on after a failure. */
+/** How a caller times out and retries. */
 export interface CallerRetryOptions {
-  /** How long it waits for one answer. */
+  /** Timeout of one attempt. */
   readonly attemptTimeoutMillis: number;
-  /** How long the whole request is worth anything to it. */
+  /** Timeout of the whole request, from its scheduled arrival. */
   readonly patienceMillis: number;
-  /** Further attempts after the first. */
+  /** Maximum number of retries after the first attempt. */
   readonly repeatsCount: number;
-  /** Pause before each, unless a Retry-After says otherwise. */
+  /** Delay before each retry, unless a longer Retry-After is honoured. */
   readonly pauseMillis: number;
-  /** Waits for as long as a Retry-After tells. */
+  /** Whether the caller waits for at least the Retry-After of a response. */
   readonly honoursRetryAfter: boolean;
-  /** Which failures it repeats after. */
+  /** Which failures are retried: all, or those with the outcome `not-run`. */
   readonly repeatsAfter: 'any' | 'not-run';
 }
 
-/** One kind of request that arrives at a rate of its own. */
+/** One kind of request with its own arrival rate. */
 export interface LoadFlow {
   readonly name: string;
   readonly className: string;
@@ -30,24 +30,24 @@
   readonly habits: CallerRetryOptions;
 }
 
-/** A stretch of the run; rates are multiplied by the factor. */
+/** A phase of the run; arrival rates are multiplied by `rateFactor`. */
 export interface LoadPhase {
   readonly name: string;
   readonly durationMillis: number;
   readonly rateFactor: number;
 }
 
-/** A whole run. */
+/** Plan of a whole run. */
 export interface LoadPlan {
-  /** Caller ports of nodes; each attempt goes to a random one. */
+  /** Caller ports of nodes; each attempt uses a random one. */
   readonly ports: readonly number[];
   readonly flows: readonly LoadFlow[];
   readonly phases: readonly LoadPhase[];
   readonly seed: number;
-  /** Requests in progress; arrivals beyond are dropped and counted. */
+  /** Limit of requests in progress; excess arrivals are dropped and counted. */
   readonly maximumInProgressCount?: number | undefined;
-  /** Width of the steps in which goodput over time is reported. */
+  /** Width of the time buckets in which goodput is reported. */
   readonly bucketMillis?: number | undefined;
-  /** Lists the names of good requests in the report. */
+  /** Whether the report lists the names of good requests. */
   readonly areNamesKept?: boolean | undefined;
 }
--- a/src/emulator/load_report.ts
+++ b/src/emulator/load_report.ts
@@ -1,12 +1,12 @@
 /**
- * Figures of a load run: goodput, outcomes, retries and latency by flow and
- * over time.
+ * Report of a load run: goodput, outcomes, retries and latency by flow, and
+ * goodput over time.
  */
 import * as hdr from 'hdr-histogram-js';
 import type {CallerResult} from './caller.js';
 import type {LoadFlow} from './load_plan.js';
 
-/** Latency of good answers, in milliseconds. */
+/** Latency of good requests, from their scheduled arrival. */
 export interface LatencyReport {
   readonly p50Millis: number;
   readonly p95Millis: number;
@@ -14,52 +14,52 @@
   readonly maxMillis: number;
 }
 
-/** Figures of one flow or class. */
+/** Report of one flow. */
 export interface FlowReport {
   readonly name: string;
   readonly className: string;
   readonly offeredCount: number;
-  /** Requests answered whole, correctly and within the caller's patience. */
+  /** Requests with a complete, correct response within the caller's timeout. */
   readonly goodCount: number;
   readonly attemptsCount: number;
-  /** Attempts by how they ended. */
+  /** Attempts by kind of result. */
   readonly attempts: Readonly<Record<CallerResult['kind'], number>>;
-  /** Failed attempts by the outcome told. */
+  /** Failed attempts by reported outcome. */
   readonly outcomes: Readonly<Record<string, number>>;
-  /** Failed attempts by reason. */
+  /** Failed attempts by reported reason, or by status code if there is none. */
   readonly reasons: Readonly<Record<string, number>>;
   readonly retriesSpentCount: number;
-  /** Most retries told for one attempt. */
+  /** Highest number of retries reported for one attempt. */
   readonly retriesSpentMaximumCount: number;
   readonly latency: LatencyReport;
 }
 
-/** Requests that arrived within one step of time. */
+/** Counts of one time bucket. */
 export interface LoadBucket {
   readonly startMillis: number;
   /** Arrivals by class. */
   readonly offered: Readonly<Record<string, number>>;
-  /** Good answers by class, counted where they came back. */
+  /** Good responses by class, counted in the bucket of the response. */
   readonly good: Readonly<Record<string, number>>;
-  /** Good answers by class, counted where their requests arrived. */
+  /** Good responses by class, counted in the bucket of the arrival. */
   readonly goodByArrival: Readonly<Record<string, number>>;
 }
 
-/** The whole report. */
+/** Report of a whole run. */
 export interface LoadReport {
   readonly startUnixMillis: number;
   readonly durationMillis: number;
   readonly flows: readonly FlowReport[];
   readonly buckets: readonly LoadBucket[];
-  /** Arrivals not sent because too many requests were in progress. */
+  /** Arrivals dropped because too many requests were in progress. */
   readonly droppedCount: number;
-  /** Largest delay of an arrival against its schedule. */
+  /** Largest delay of an arrival behind its schedule. */
   readonly arrivalLagMaximumMillis: number;
-  /** Names of good requests, if the plan asks for them. */
+  /** Names of good requests; empty unless `areNamesKept` is set in the plan. */
   readonly goodNames: readonly string[];
 }
 
-/** Gathers the figures of one flow. */
+/** Records the results of one flow. */
 export interface FlowRecorder {
   recordOffered(): void;
   recordAttempt(result: CallerResult): void;
@@ -69,7 +69,7 @@
 
 const MICROS_PER_MILLI = 1000;
 
-/** Creates a recorder without figures. */
+/** Creates an empty recorder. */
 export function createFlowRecorder(flow: LoadFlow): FlowRecorder {
   const histogram = hdr.build({numberOfSignificantValueDigits: 3});
   const attempts = {answered: 0, wrong: 0, failed: 0, broken: 0};
@@ -123,21 +123,21 @@
   };
 }
 
-/** A good answer; times count from the start of the run. */
+/** A good response; times are relative to the start of the run. */
 export interface GoodResponse {
   readonly className: string;
   readonly arrivedMillis: number;
   readonly respondedMillis: number;
 }
 
-/** Gathers arrivals and good answers over time. */
+/** Records arrivals and good responses over time. */
 export interface BucketRecorder {
   recordOffered(elapsedMillis: number, className: string): void;
   recordGood(response: GoodResponse): void;
   report(): readonly LoadBucket[];
 }
 
-/** Creates a recorder with steps of equal width. */
+/** Creates a recorder with buckets of equal width. */
 export function createBucketRecorder(bucketMillis: number): BucketRecorder {
   const buckets: {
     offered: Record<string, number>;
--- a/src/emulator/managed_process.ts
+++ b/src/emulator/managed_process.ts
@@ -1,55 +1,58 @@
 /**
- * A Node program run as a child process: its ready line, its log, its signals
- * and its end.
+ * A Node.js program that runs as a child process: start, ready line, log,
+ * signals and exit.
  */
 import {spawn} from 'node:child_process';
 import {createInterface} from 'node:readline';
 import {BaseError} from '../base/errors.js';
 
-/** What the program printed when ready. */
+/** Parsed JSON line that a program prints when it is ready. */
 export type ReadyLine = Readonly<Record<string, unknown>>;
 
-/** How a process ended. */
+/** Exit code, or signal, of a process. */
 export interface ProcessExit {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
 }
 
-/** A program to start. */
+/** Options of a program. */
 export interface ProgramOptions {
-  /** For messages. */
+  /** Name used in messages. */
   readonly name: string;
-  /** JavaScript file. */
+  /** Path of a JavaScript file. */
   readonly file: string;
   readonly args: readonly string[];
   readonly nodeArgs?: readonly string[] | undefined;
 }
 
-/** A running or ended program. */
+/** A program that is running or has exited. */
 export interface ManagedProcess {
   readonly name: string;
   readonly pid: number;
   readonly ready: ReadyLine;
-  /** The last lines it wrote to either output, oldest first. */
+  /** The last lines written to stdout and stderr, oldest first. */
   log(): readonly string[];
   hasExited(): boolean;
   readonly exited: Promise<ProcessExit>;
   signal(signal: NodeJS.Signals): void;
-  /** SIGTERM, then SIGKILL when it has not ended in time. */
+  /** Sends SIGTERM, and SIGKILL if the process has not exited in time. */
   stop(timeoutMillis: number): Promise<ProcessExit>;
 }
 
 const LOG_LINES_COUNT = 500;
 const READY_TIMEOUT_MILLIS = 30_000;
 
-/** Processes still running, so that none outlives this one. */
+/** Child processes to kill when this process exits. */
 const runningPids = new Set<number>();
 
 process.on('exit', () => {
   for (const pid of runningPids) killIfRunning(pid);
 });
 
-/** Starts a program and resolves when it has printed its ready line. */
+/**
+ * Starts a program and resolves when it has printed its ready line. Rejects if
+ * it exits before that, or does not print it in time.
+ */
 export function startProgram(options: ProgramOptions): Promise<ManagedProcess> {
   const child = spawn(
     process.execPath,
@@ -129,6 +132,6 @@
   try {
     process.kill(pid, 'SIGKILL');
   } catch {
-    // It has ended in the meantime.
+    // The process has already exited.
   }
 }
--- a/src/emulator/platform_main.ts
+++ b/src/emulator/platform_main.ts
@@ -1,5 +1,5 @@
 /**
- * Program: the stand-in platform in a process of its own.
+ * Program that runs the emulated platform.
  */
 import {readFile} from 'node:fs/promises';
 import yargs from 'yargs';
@@ -12,7 +12,7 @@
   exitWithError,
 } from './process_support.js';
 
-/** Reads `name=port`. */
+/** Parses `name=port`. */
 function parseFront(text: string): PlatformFrontOptions {
   const [name = '', port = '0'] = text.split('=');
   return {name, port: Number(port)};
--- a/src/emulator/port_block.ts
+++ b/src/emulator/port_block.ts
@@ -1,5 +1,5 @@
 /**
- * Ports for programs whose address must be known before they start.
+ * Allocates ports for programs whose address must be known before they start.
  */
 import {createServer} from 'node:net';
 import type {Server} from 'node:net';
@@ -7,23 +7,22 @@
 import type {Disposable} from '../base/lifecycle.js';
 import {LOOPBACK_ADDRESS, listen} from './http_support.js';
 
-// Below the range that the system takes ports of outgoing connections from:
-// such a connection could otherwise hold the port of a stopped program, whose
-// restart would then fail now and then.
+// Below the ephemeral port range: an outgoing connection could otherwise occupy
+// the port of a stopped program, so that its restart fails at times.
 const FIRST_PORT = 12_000;
 const LAST_PORT = 32_000;
 const BLOCK_SIZE = 250;
 const BLOCKS_COUNT = (LAST_PORT - FIRST_PORT) / BLOCK_SIZE;
 
-/** A range of ports that no other fleet on this machine uses. */
+/** A range of ports that is reserved for one fleet on this machine. */
 export interface PortBlock extends Disposable {
-  /** Takes the next port that nothing listens on. */
+  /** Returns the next unused port; rejects with a CapacityError if none is left. */
   allocatePort(): Promise<number>;
 }
 
 /**
- * Claims a block by listening on its first port for as long as the block is
- * held; fleets of other processes see it taken and go on to another.
+ * Claims a block by listening on its first port until it is disposed; other
+ * processes then fail to listen on that port and try the next block.
  */
 export async function claimPortBlock(): Promise<PortBlock> {
   const start = Math.floor(Math.random() * BLOCKS_COUNT);
--- a/src/emulator/process_support.ts
+++ b/src/emulator/process_support.ts
@@ -1,15 +1,15 @@
 /**
- * Conventions of the emulator's programs: one JSON line when ready, a clean
- * end on SIGTERM or SIGINT.
+ * Conventions of the emulator's programs: a JSON line on stdout when ready, and
+ * a clean exit on SIGTERM or SIGINT.
  */
 import {describeError} from '../base/errors.js';
 
-/** Tells the parent process which ports are open. */
+/** Prints the ready line, from which the parent process reads the ports. */
 export function printReadyLine(ports: Readonly<Record<string, unknown>>): void {
   process.stdout.write(`${JSON.stringify({ready: true, ...ports})}\n`);
 }
 
-/** Runs the clean-up once on the first stop signal, then exits. */
+/** Calls `stop` on the first SIGTERM or SIGINT, then exits. */
 export function exitOnSignal(stop: () => Promise<void>): void {
   let isStopping = false;
   const onSignal = (): void => {
@@ -26,7 +26,7 @@
   process.on('SIGINT', onSignal);
 }
 
-/** Ends the process with one line on standard error. */
+/** Prints the error on stderr and exits with code 1. */
 export function exitWithError(error: unknown): never {
   process.stderr.write(`${describeError(error)}\n`);
   process.exit(1);
--- a/src/emulator/response_body.ts
+++ b/src/emulator/response_body.ts
@@ -1,10 +1,10 @@
 /**
- * Answer bodies that name the request they belong to, so that a client notices
- * a fragment or another request's answer.
+ * Response bodies that name the request they belong to, so that a client
+ * detects a truncated response or the response to another request.
  */
 import {createHash} from 'node:crypto';
 
-/** What a body states about itself, as its first line. */
+/** Header of a response body, sent as JSON in its first line. */
 export interface ResponseBodyHeader {
   readonly request: string;
   readonly service: string;
@@ -12,13 +12,13 @@
   readonly path: string;
   /** SHA-256 of the request's body, hex; empty when it had none. */
   readonly requestDigest: string;
-  /** Status codes of the calls made on the request's behalf. */
+  /** Status codes of the downstream calls made for the request. */
   readonly calls: readonly number[];
   /** Bytes after the first line. */
   readonly paddingBytes: number;
 }
 
-/** What the client of an answer knows about its own request. */
+/** Header fields that the client expects, taken from its request. */
 export interface ExpectedResponse {
   readonly request: string;
   readonly path: string;
@@ -27,13 +27,13 @@
 
 const LINE_FEED = 0x0a;
 
-/** SHA-256 in hex of a request body; empty text for an empty body. */
+/** Returns the SHA-256 of a request body in hex, or '' for an empty body. */
 export function hashBody(body: Uint8Array | undefined): string {
   if (body === undefined || body.byteLength === 0) return '';
   return createHash('sha256').update(body).digest('hex');
 }
 
-/** Builds a body of at least `totalBytes`, padded with the request's name. */
+/** Creates a body of at least `totalBytes`, padded with the request's name. */
 export function createResponseBody(
   header: Omit<ResponseBodyHeader, 'paddingBytes'>,
   totalBytes: number,
@@ -44,7 +44,10 @@
   return Buffer.concat([line, createPadding(header.request, paddingBytes)]);
 }
 
-/** Tells what is wrong with a body, or undefined when it is whole and own. */
+/**
+ * Returns a description of the first problem of a body, or undefined if it is
+ * complete and belongs to the expected request.
+ */
 export function findResponseProblem(
   body: Buffer,
   expected: ExpectedResponse,
--- a/src/emulator/service_routes.ts
+++ b/src/emulator/service_routes.ts
@@ -1,24 +1,24 @@
 /**
- * Short forms for the routes and calls of stand-in upstreams.
+ * Helpers that create the routes and calls of emulated upstreams.
  */
 import type {PlannedCall, UpstreamRoute} from './upstream_config.js';
 
-/** Spread of service times: the 99th percentile is 2.5 times the median. */
+/** Sigma of the log-normal service time; p99 is 2.5 times the median. */
 const SERVICE_SIGMA = 0.4;
 
-/** Describes one route. */
+/** Creates one route. */
 export type RouteBuilder = (
   method: string,
   path: string,
   callStages: readonly (readonly PlannedCall[])[],
 ) => UpstreamRoute;
 
-/** A GET without a body. */
+/** Creates a GET call without a body. */
 export function createGetCall(service: string, path: string): PlannedCall {
   return {service, method: 'GET', path};
 }
 
-/** Builds routes that share a median service time and an answer size. */
+/** Returns a builder of routes with the given median service time and size. */
 export function createRouteBuilder(
   serviceMillis: number,
   answerBytes: number,
--- a/src/emulator/slot_pool.ts
+++ b/src/emulator/slot_pool.ts
@@ -1,21 +1,22 @@
 /**
- * Execution slots of an emulated upstream: a fixed number runs, a bounded
- * number waits in order of arrival.
+ * Execution slots of an emulated upstream: a fixed number of requests run, and
+ * a bounded number wait in order of arrival.
  */
 
-/** Slots and the requests that wait for one. */
+/** A pool of slots with a FIFO queue. */
 export interface SlotPool {
   /**
-   * Resolves true with a slot taken, false when the queue is full or the
-   * signal fired first.
+   * Resolves to true when a slot is acquired, or to false if the queue is full
+   * or the signal fires first.
    */
   acquire(signal: AbortSignal): Promise<boolean>;
+  /** Passes the slot to the next waiting request, or frees it. */
   release(): void;
   busyCount(): number;
   waitingCount(): number;
 }
 
-/** Creates a pool with all slots free. */
+/** Creates a pool whose slots are all free. */
 export function createSlotPool(
   slotsCount: number,
   queueCount: number,
--- a/src/emulator/small_deployment.ts
+++ b/src/emulator/small_deployment.ts
@@ -1,6 +1,6 @@
 /**
- * A small deployment for tests: orderdesk calls tileyard and catalogue,
- * tileyard calls catalogue, in any number of availability zones.
+ * A small deployment for tests, in any number of availability zones: orderdesk
+ * calls tileyard and catalogue, and tileyard calls catalogue.
  */
 import type {Policy, Route, Service} from '../version/policy.js';
 import type {ServicePlan} from './fleet_plan.js';
@@ -9,8 +9,8 @@
 const REGION = 'west';
 
 /**
- * Builds the policy. Its times are generous, so that a busy machine alone causes
- * no failure. Zones are named `a`, `b`, `c` and so on.
+ * Creates the policy. Its timeouts are long, so that load on the machine alone
+ * causes no failure. Zones are named `a`, `b`, `c` and so on.
  */
 export function createSmallPolicy(zonesCount: number): Policy {
   return {
@@ -66,7 +66,7 @@
   };
 }
 
-/** Behaviour of the deployment's upstreams. */
+/** Creates the service plans, with the same number of hosts in each zone. */
 export function createSmallServices(
   hostsPerZoneCount: number,
 ): readonly ServicePlan[] {
@@ -113,8 +113,8 @@
 ];
 
 /**
- * A service that calls others waits longer than those do, or it would give up
- * on its upstream while that one is still retrying deeper.
+ * Creates a service. The timeout of a service must exceed those of the services
+ * it calls, or it times out while its upstream still retries a call.
  */
 function service(
   name: string,
--- a/src/emulator/socket_owner.ts
+++ b/src/emulator/socket_owner.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the process that holds the far end of a loopback connection, so that a
- * relay can tell availability zones apart although all share one address.
+ * Finds the process that owns the remote end of a loopback connection, so that
+ * a relay can distinguish availability zones that share one address.
  */
 import {existsSync, readFileSync, readdirSync, readlinkSync} from 'node:fs';
 
@@ -9,18 +9,18 @@
 const INODE_FIELD = 9;
 const HEX_RADIX = 16;
 
-/** Whether this system tells who owns a socket. */
+/** Returns whether this system lists socket owners in `/proc`. */
 export function canFindSocketOwners(): boolean {
   return existsSync(SOCKET_TABLE);
 }
 
-/** Finds which process owns the socket bound to a local port. */
+/** Resolves to the id of the process that owns the socket of a local port. */
 export type SocketOwnerFinder = (port: number) => Promise<number | undefined>;
 
 /**
- * Creates a finder that searches the given processes. Questions that come up
- * in one turn share one search: with one search for each connection, a burst
- * of connections kept relays busy for seconds.
+ * Creates a finder that searches the given processes. Requests made in one turn
+ * of the event loop share one search: with one search for each connection, a
+ * burst of connections kept the relays busy for seconds.
  */
 export function createSocketOwnerFinder(
   listPids: () => readonly number[],
@@ -37,7 +37,7 @@
   };
 }
 
-/** Maps local ports to the processes among the given ones that hold them. */
+/** Maps local ports to the ids of the given processes that own them. */
 function findOwners(pids: readonly number[]): ReadonlyMap<number, number> {
   const ports = readPortsByInode();
   const owners = new Map<number, number>();
@@ -57,7 +57,7 @@
     const fields = line.trim().split(/\s+/);
     const portText = fields[LOCAL_FIELD]?.split(':')[1] ?? '';
     const inode = fields[INODE_FIELD] ?? '0';
-    // A closed connection lingers in the table without an owner.
+    // A closed connection stays in the table for a while with inode 0.
     if (inode !== '0') ports.set(inode, Number.parseInt(portText, HEX_RADIX));
   }
   return ports;
@@ -72,7 +72,7 @@
       if (match?.[1] !== undefined) inodes.push(match[1]);
     }
   } catch {
-    // The process has ended.
+    // The process has exited.
   }
   return inodes;
 }
@@ -83,7 +83,7 @@
   try {
     return readlinkSync(`${directory}/${descriptor}`);
   } catch {
-    // It was closed in the meantime.
+    // The descriptor has already been closed.
     return '';
   }
 }
--- a/src/emulator/text_table.ts
+++ b/src/emulator/text_table.ts
@@ -1,10 +1,10 @@
 /**
- * Plain text tables for terminals.
+ * Plain text tables for terminal output.
  */
 
 const COLUMN_GAP = '  ';
 
-/** Formats rows under headings; columns are as wide as their widest cell. */
+/** Formats a table; each column is as wide as its widest cell. */
 export function formatTable(
   headings: readonly string[],
   rows: readonly (readonly string[])[],
--- a/src/emulator/tunis_services.ts
+++ b/src/emulator/tunis_services.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in upstreams for the services of `examples/tunis.json`: a call graph of
+ * Emulated upstreams for the services of `examples/tunis.json`: a call graph of
  * bookings, crewboard, fieldlib and dispatch.
  */
 import type {ServicePlan} from './fleet_plan.js';
@@ -17,7 +17,7 @@
 const SMALL_ANSWER_BYTES = 800;
 const MANUAL_ANSWER_BYTES = 40_000;
 
-/** Builds the service plans with the same number of hosts in every zone. */
+/** Creates the service plans, with the same number of hosts in each zone. */
 export function createTunisServices(
   hostsPerZoneCount: number,
   times: TunisServiceTimes,
--- a/src/emulator/upstream_calls.ts
+++ b/src/emulator/upstream_calls.ts
@@ -1,6 +1,6 @@
 /**
- * The calls an upstream makes through the local listener of its node on behalf
- * of a request in progress.
+ * Downstream calls that an upstream makes for a request in progress, through
+ * the local listener of the node on its host.
  */
 import * as http from 'node:http';
 import type {IncomingMessage} from 'node:http';
@@ -18,26 +18,29 @@
   UpstreamFault,
 } from './upstream_config.js';
 
-/** The request that calls are made for. */
+/** The request for which calls are made. */
 export interface CallOrigin {
   readonly request: IncomingMessage;
-  /** The client's name for it. */
+  /** Name that the client gave the request. */
   readonly name: string;
-  /** Stops calls that nobody waits for any more. */
+  /** Aborts the calls when the client disconnects. */
   readonly signal: AbortSignal;
 }
 
-/** What became of all calls of one request. */
+/** Results of all calls of one request. */
 export interface CallsResult {
-  /** False when a call that is not optional failed. */
+  /** False if a call that is not optional failed. */
   readonly isSuccess: boolean;
-  /** Status of each call; 0 when no answer came. */
+  /** Status code of each call; 0 if there was no valid response. */
   readonly statusCodes: readonly number[];
 }
 
-/** Makes calls on behalf of requests. */
+/** Makes the downstream calls of an upstream. */
 export interface UpstreamCalls extends Disposable {
-  /** Runs stages in order, stopping after one with a failed call. */
+  /**
+   * Runs the stages in order and stops after the first with a failed call that
+   * is not optional; rejects if the origin's signal fires.
+   */
   run(
     stages: readonly (readonly PlannedCall[])[],
     origin: CallOrigin,
@@ -47,14 +50,14 @@
   wrongResponsesCount(): number;
 }
 
-/** Creates the calling side of an upstream. */
+/** Creates the caller of downstream calls for an upstream. */
 export function createUpstreamCalls(config: UpstreamConfig): UpstreamCalls {
   const agent = new http.Agent({keepAlive: true});
   let wrongResponsesCount = 0;
   let previousId: string | undefined;
   let callsCount = 0;
 
-  /** The id that calls derive theirs from, as the application's mode has it. */
+  /** Returns the id from which call ids are derived, according to the mode. */
   const chooseParentId = (
     origin: CallOrigin,
     mode: ContextMode,
@@ -67,7 +70,7 @@
     return mode === 'previous' ? (earlierId ?? ownId) : ownId;
   };
 
-  /** Each call has an id of its own below that of its request. */
+  /** Returns a unique id for a call, prefixed with the id of its request. */
   const nextId = (parentId: string | undefined): string | undefined => {
     callsCount += 1;
     return parentId === undefined
@@ -128,7 +131,7 @@
       };
       for (const stage of stages) {
         const results = await Promise.all(stage.map(sendWithRetries));
-        // Work for a client that has gone away is wasted.
+        // No further calls are made for a client that has disconnected.
         origin.signal.throwIfAborted();
         statusCodes.push(...results);
         const isSuccess = stage.every(
--- a/src/emulator/upstream_config.ts
+++ b/src/emulator/upstream_config.ts
@@ -1,81 +1,81 @@
 /**
- * Configuration and faults of a stand-in upstream.
+ * Configuration and faults of an emulated upstream.
  */
 
-/** One call an upstream makes on behalf of a request. */
+/** One downstream call that an upstream makes for a request. */
 export interface PlannedCall {
   readonly service: string;
   readonly method: string;
   readonly path: string;
   readonly bodyBytes?: number | undefined;
-  /** The request succeeds without this call. */
+  /** Whether the request succeeds even if this call fails. */
   readonly isOptional?: boolean | undefined;
 }
 
-/** How requests of one route are executed. */
+/** How an upstream executes the requests of one route. */
 export interface UpstreamRoute {
   readonly method: string;
-  /** Literal segments, `:name` for one segment, final `*`. */
+  /** Literal segments, `:name` for any one segment, a final `*` for the rest. */
   readonly path: string;
-  /** Median of the service time, apart from calls. */
+  /** Median of the service time, without the calls. */
   readonly serviceMillis: number;
-  /** Spread of the log-normal service time; 0 for a fixed time. */
+  /** Sigma of the log-normal service time; 0 for a fixed time. */
   readonly serviceSigma?: number | undefined;
   readonly answerBytes: number;
-  /** Sends the answer in chunks instead of with a Content-Length. */
+  /** Sends the response chunked instead of with a Content-Length. */
   readonly isChunked?: boolean | undefined;
-  /** Adds a Content-Digest. */
+  /** Adds a Content-Digest header. */
   readonly hasDigest?: boolean | undefined;
-  /** Stages run one after another, the calls of a stage in parallel. */
+  /** Stages run in sequence, the calls of a stage in parallel. */
   readonly callStages?: readonly (readonly PlannedCall[])[] | undefined;
 }
 
-/** What an upstream does with a request instead of answering it properly. */
+/** Fault that an upstream injects into requests. */
 export type FaultMode =
   | 'none'
-  /** Starts the execution and never answers. */
+  /** Starts the execution and never responds. */
   | 'silent'
-  /** Executes, then waits with the answer until released. */
+  /** Executes, then holds the response until it is released. */
   | 'hold'
-  /** Executes, then breaks the answer off at `cutAt`. */
+  /** Executes, then truncates the response at `cutAt`. */
   | 'cut'
   /** Executes, then resets the connection. */
   | 'reset'
   /** Resets the connection without executing. */
   | 'reset-unrun'
-  /** Executes, then answers 500. */
+  /** Executes, then responds with 500. */
   | 'error'
-  /** Executes, then answers 503 without saying more. */
+  /** Executes, then responds with 503, without the not-executed header. */
   | 'unavailable'
-  /** Answers 503 without executing and says so. */
+  /** Responds with 503 without executing, and with the not-executed header. */
   | 'refuse';
 
-/** Where an answer breaks off. */
+/** Where a response is truncated. */
 export type CutPosition = 'headers' | 'middle' | 'last-byte';
 
-/** From which request's id an upstream derives the ids of its calls. */
+/** How an upstream passes the request id on to its calls. */
 export type ContextMode =
   | 'copy'
   | 'drop'
-  /** From the request before this one. */
+  /** Passes on the id of the previous request instead. */
   | 'previous';
 
-/** Behaviour that can be changed while an upstream runs. */
+/** Faults that can be changed while an upstream is running. */
 export interface UpstreamFault {
   readonly mode: FaultMode;
   readonly cutAt: CutPosition;
-  /** Requests still affected by `mode`; null for all. */
+  /** Number of requests that `mode` still affects; null for all. */
   readonly remainingCount: number | null;
-  /** Only paths that start with this are affected by `mode`. */
+  /** `mode` affects only paths with this prefix. */
   readonly pathPrefix: string;
   /** Multiplies service times. */
   readonly slowFactor: number;
   readonly contextMode: ContextMode;
-  /** Times the application repeats each of its calls that failed. */
+  /** Number of times the application itself retries a failed call. */
   readonly callRepeatsCount: number;
 }
 
-/** Behaviour without any fault. */
+/** State without a fault. */
 export const NO_FAULT: UpstreamFault = {
   mode: 'none',
   cutAt: 'middle',
@@ -86,28 +86,28 @@
   callRepeatsCount: 0,
 };
 
-/** Configuration of one stand-in upstream; port 0 lets the system choose. */
+/** Configuration of an emulated upstream; port 0 selects any free port. */
 export interface UpstreamConfig {
   readonly hostName: string;
   readonly service: string;
   readonly address?: string | undefined;
   readonly port: number;
   readonly controlPort?: number | undefined;
-  /** Local listener of the node on the same host; 0 when there is none. */
+  /** Port of the local listener of the node on this host; 0 if there is none. */
   readonly localPort: number;
-  /** Address of that listener. */
+  /** Address of that listener; the loopback address if absent. */
   readonly localAddress?: string | undefined;
-  /** Requests executed at a time; more wait in order of arrival. */
+  /** Requests executed concurrently; others wait in order of arrival. */
   readonly slotsCount: number;
-  /** Requests that may wait for a slot; more are refused. */
+  /** Limit of requests that wait for a slot; others are rejected. */
   readonly queueCount?: number | undefined;
-  /** Open connections accepted; unbounded when absent. */
+  /** Limit of open connections; none if absent. */
   readonly connectionsCount?: number | undefined;
   readonly seed?: number | undefined;
   readonly routes: readonly UpstreamRoute[];
 }
 
-/** Finds the first route that matches; `path` is without the query string. */
+/** Finds the first matching route; `path` must not include the query string. */
 export function findUpstreamRoute(
   routes: readonly UpstreamRoute[],
   method: string,
--- a/src/emulator/upstream_main.ts
+++ b/src/emulator/upstream_main.ts
@@ -1,5 +1,5 @@
 /**
- * Program: a stand-in upstream in a process of its own.
+ * Program that runs an emulated upstream.
  */
 import {readFile} from 'node:fs/promises';
 import yargs from 'yargs';
--- a/src/emulator/upstream_responses.ts
+++ b/src/emulator/upstream_responses.ts
@@ -1,5 +1,5 @@
 /**
- * Answers of a stand-in for an upstream, whole ones and ones that break off.
+ * Complete and partial responses of an emulated upstream.
  */
 import {createHash} from 'node:crypto';
 import type {
@@ -9,7 +9,7 @@
 } from 'node:http';
 import type {CutPosition, UpstreamRoute} from './upstream_config.js';
 
-/** Answers without a body. */
+/** Sends a response without a body. */
 export function sendEmptyResponse(
   response: ServerResponse,
   statusCode: number,
@@ -18,7 +18,7 @@
   response.writeHead(statusCode, {...headers, 'content-length': 0}).end();
 }
 
-/** Headers of a whole answer. */
+/** Returns the headers of a complete response. */
 export function responseHeaders(
   route: UpstreamRoute,
   body: Buffer,
@@ -35,7 +35,7 @@
   return headers;
 }
 
-/** Breaks off within the status line and headers. */
+/** Sends the status line and part of a header, then closes the connection. */
 export function sendPartialHeaders(request: IncomingMessage): void {
   const {socket} = request;
   socket.write('HTTP/1.1 200 OK\r\ncontent-ty', () => {
@@ -43,7 +43,7 @@
   });
 }
 
-/** Breaks off within the body, as an upstream that dies would. */
+/** Sends part of the body, then closes the connection like a crash does. */
 export function sendPartialBody(
   response: ServerResponse,
   body: Buffer,
--- a/src/emulator/wait_for.ts
+++ b/src/emulator/wait_for.ts
@@ -1,11 +1,11 @@
 /**
- * Waiting for a state of other processes.
+ * Polling for a condition.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 const POLL_INTERVAL_MILLIS = 25;
 
-/** Polls a condition; false when it did not hold within the limit. */
+/** Polls a condition; resolves to false if it is not met before the timeout. */
 export async function waitFor(
   timeoutMillis: number,
   condition: () => Promise<boolean>,
