--- a/test/unit/emulator/deployments.test.ts
+++ b/test/unit/emulator/deployments.test.ts
@@ -45,7 +45,7 @@
 ];
 
 for (const {name, readPolicy, services} of DEPLOYMENTS) {
-  test(`the policy of ${name} is valid and its hosts are named apart`, async t => {
+  test(`the policy of ${name} is valid and its host names are unique`, async t => {
     const policy = await readPolicy();
     const result = compilePolicy(Buffer.from(JSON.stringify(policy)));
     t.is(result.kind, 'compiled', JSON.stringify(result));
@@ -53,7 +53,7 @@
     t.is(new Set(hosts.map(host => host.name)).size, hosts.length);
   });
 
-  test(`routes of ${name} exist in policy and upstreams alike`, async t => {
+  test(`policy and upstreams of ${name} have the same routes`, async t => {
     const policy = await readPolicy();
     for (const service of policy.services) {
       const plan = services.find(entry => entry.service === service.name);
--- a/test/unit/emulator/emulated_platform.test.ts
+++ b/test/unit/emulator/emulated_platform.test.ts
@@ -34,7 +34,7 @@
   });
 }
 
-test('read returns the document byte for byte with its version', async t => {
+test('a read returns the published bytes with their version', async t => {
   const platform = await start(t);
   const response = await read(platform);
   t.is(response.statusCode, 200);
@@ -42,7 +42,7 @@
   t.deepEqual(response.body, POLICY);
 });
 
-test('watch waits for a newer document and counts as one call', async t => {
+test('a watch waits for a newer document and counts as one call', async t => {
   const platform = await start(t);
   const watch = read(platform, '?after=3&wait_ms=60000');
   await sendControlRequest(
@@ -61,7 +61,7 @@
   });
 });
 
-test('a stale front keeps serving what it had while another is current', async t => {
+test('a stale front serves old documents while another front is current', async t => {
   const platform = await start(t);
   platform.setFault('east', {isStale: true});
   platform.publish('policy', NEWER_POLICY);
--- a/test/unit/emulator/emulated_upstream.test.ts
+++ b/test/unit/emulator/emulated_upstream.test.ts
@@ -53,7 +53,7 @@
   });
 }
 
-test('an answer is whole, names its request and is recorded', async t => {
+test('a response is complete, names its request and is recorded', async t => {
   const upstream = await start(t);
   const response = await get(upstream, 'r1');
   const expected = {request: 'r1', path: '/tiles/7', requestDigest: ''};
@@ -104,7 +104,7 @@
   });
 }
 
-test('a full upstream refuses without executing', async t => {
+test('a full upstream rejects requests without executing them', async t => {
   const upstream = await start(t);
   upstream.setFault({mode: 'hold'});
   const pending = [get(upstream, 'r1'), get(upstream, 'r2')];
@@ -121,7 +121,7 @@
   t.is(upstream.record.find({}).length, 2);
 });
 
-test('a silent upstream stops when its client goes away', async t => {
+test('a silent upstream cancels the execution when its client disconnects', async t => {
   const upstream = await start(t);
   upstream.setFault({mode: 'silent'});
   const controller = new AbortController();
@@ -142,7 +142,7 @@
   t.like(upstream.record.find({})[0], {isComplete: false, isCancelled: true});
 });
 
-test('calls go to the own node with ids below that of their request', async t => {
+test('calls go through the local node with ids derived from their request', async t => {
   const leaf = await start(t);
   const receivedIds: unknown[] = [];
   const node = http.createServer((request, response) => {
--- a/test/unit/emulator/faulty_link.test.ts
+++ b/test/unit/emulator/faulty_link.test.ts
@@ -11,7 +11,7 @@
   connectClient(): Promise<Socket>;
 }
 
-/** An echo server behind a link whose sources are named by the given list. */
+/** Starts an echo server behind a link; connections get the sources in order. */
 async function start(
   t: ExecutionContext,
   sources: readonly string[],
@@ -52,7 +52,7 @@
   });
 }
 
-/** Whether an echo came before another connection completed a round trip. */
+/** Returns whether no echo arrives while another client makes 20 round trips. */
 async function isSilent(client: Socket, otherClient: Socket): Promise<boolean> {
   let hasEcho = false;
   void readEcho(client, 'lost').then(() => (hasEcho = true));
@@ -60,10 +60,9 @@
   return !hasEcho;
 }
 
-// Symptom: requests on open connections wait for ever while new ones work.
-// Events: the link forgets its open connections, then clients use old and new.
-// Cause: something between the ends lost track of the old connections.
-test('forgotten connections stay silent while new ones work', async t => {
+// Emulates a middlebox that lost its state of open connections: requests on them
+// hang, while new connections work.
+test('stalled connections stay silent while new ones work', async t => {
   const {link, connectClient} = await start(t, []);
   const old = await connectClient();
   t.is(await readEcho(old, 'one'), 'one');
@@ -75,10 +74,9 @@
   t.false(old.destroyed);
 });
 
-// Symptom: one availability zone is not reached, the others are.
-// Events: a source is cut off, later healed; bytes sent meanwhile then arrive.
-// Cause: a network partition holds packets back until it ends.
-test('a silent source is cut off alone and resumes when healed', async t => {
+// Emulates a partition of one availability zone: its packets are delayed until
+// the partition ends, while other zones are reachable.
+test('only a silent source is partitioned, and it resumes when opened', async t => {
   const {link, connectClient} = await start(t, ['a', 'b']);
   const a = await connectClient();
   t.is(await readEcho(a, 'one'), 'one');
@@ -101,7 +99,7 @@
   t.is(link.openConnectionsCount(), 0);
 });
 
-test('a link that accepts nothing refuses until it accepts again', async t => {
+test('a link without a listener refuses connections until it listens again', async t => {
   const {link, connectClient} = await start(t, []);
   await link.setAccepting(false);
   const refused = connect(link.port, LOOPBACK_ADDRESS);
@@ -113,7 +111,7 @@
   t.is(await readEcho(await connectClient(), 'one'), 'one');
 });
 
-test('a narrow link carries all bytes in order, one connection beside another', async t => {
+test('a link with limited bandwidth delivers all bytes in order, for each connection', async t => {
   const {link, connectClient} = await start(t, []);
   link.setBandwidth(4000);
   const first = await connectClient();
@@ -132,7 +130,7 @@
     first.write(text.slice(at, at + 100));
   }
   t.is(await readEcho(second, 'two'), 'two');
-  // What the link holds back is not there yet.
+  // The bandwidth limit has not let all bytes through yet.
   t.true(received.join('').length < text.length);
   await whole;
   t.is(received.join(''), text);
--- a/test/unit/emulator/load_generator.test.ts
+++ b/test/unit/emulator/load_generator.test.ts
@@ -17,7 +17,7 @@
   habits: {
     attemptTimeoutMillis: 30_000,
     patienceMillis: 60_000,
-    // One request may meet all three faults: its repeats race with the others.
+    // All three faults may hit one request, as its retries race with others.
     repeatsCount: 3,
     pauseMillis: 1,
     honoursRetryAfter: true,
@@ -30,7 +30,7 @@
   {name: 'surge', durationMillis: 50, rateFactor: 4},
 ];
 
-test('arrivals depend on the seed alone and follow the phases', t => {
+test('arrivals depend only on the seed and follow the phases', t => {
   const first = [...scheduleArrivals(PHASES, 200, createSeededRandom(7))];
   const second = [...scheduleArrivals(PHASES, 200, createSeededRandom(7))];
   t.deepEqual(first, second);
@@ -38,7 +38,7 @@
   t.false(first.some(at => at >= 100 && at < 150));
 });
 
-test('every arrival is pursued and repeated under its own name', async t => {
+test('every arrival is sent and retried under its own name', async t => {
   const upstream = await createEmulatedUpstream({
     hostName: 'h1',
     service: 'atlas',
--- a/test/unit/emulator/socket_owner.test.ts
+++ b/test/unit/emulator/socket_owner.test.ts
@@ -9,9 +9,9 @@
   createSocketOwnerFinder,
 } from '../../../src/emulator/socket_owner.js';
 
-test('tells which process holds the far end of a connection', async t => {
+test('finds the process that owns the remote end of a connection', async t => {
   if (!canFindSocketOwners()) {
-    t.pass('this system does not tell; statements that cut zones need it');
+    t.pass('no /proc/net/tcp here; scenario statements that cut zones need it');
     return;
   }
   const server = createServer();
