--- a/deploy/build.js
+++ b/deploy/build.js
@@ -1,6 +1,6 @@
 /**
- * Bundles the node into one file, so that a process that starts reads little
- * else, and compiles it: `build.js [DIRECTORY]`, by default `target`.
+ * Bundles the node into one file, so that a starting process reads few others,
+ * and compiles it: `build.js [DIRECTORY]`, by default `target`.
  */
 import {execFileSync} from 'node:child_process';
 import {readFileSync} from 'node:fs';
@@ -12,29 +12,29 @@
 const directory = process.argv[2] ?? 'target';
 
 /**
- * Packages that bunyan uses if they can be loaded, for tracing and for rotated
- * files; a node needs neither, and loading them slows its start.
+ * Optional dependencies of bunyan, for tracing and log rotation. A node needs
+ * neither, and loading them slows its start.
  */
-const LEFT_OUT = /^(dtrace-provider|mv|moment|safe-json-stringify)$/;
+const EXCLUDED_PACKAGES = /^(dtrace-provider|mv|moment|safe-json-stringify)$/;
 
 /**
- * Modules that are loaded with every start and do nothing for a node: figures
- * of the runtime itself, pushed and clustered metrics.
+ * Modules that are loaded at every start but not used by a node: metrics of the
+ * runtime, pushed and clustered metrics, and OpenTelemetry.
  */
-const EMPTIED =
+const EMPTY_MODULES =
   /prom-client[/\\]lib[/\\](defaultMetrics|pushgateway|cluster)\.js$|@opentelemetry[/\\]api[/\\]/;
 
-const leaveOut = {
-  name: 'leave-out',
+const excludeModules = {
+  name: 'exclude-modules',
   setup: builder => {
-    builder.onResolve({filter: LEFT_OUT}, args => ({
+    builder.onResolve({filter: EXCLUDED_PACKAGES}, args => ({
       path: args.path,
-      namespace: 'left-out',
+      namespace: 'excluded',
     }));
-    builder.onLoad({filter: /.*/, namespace: 'left-out'}, () => ({
-      contents: 'throw new Error("left out of the bundle");',
+    builder.onLoad({filter: /.*/, namespace: 'excluded'}, () => ({
+      contents: 'throw new Error("excluded from the bundle");',
     }));
-    builder.onLoad({filter: EMPTIED}, () => ({contents: ''}));
+    builder.onLoad({filter: EMPTY_MODULES}, () => ({contents: ''}));
   },
 };
 
@@ -46,14 +46,14 @@
   minifySyntax: true,
   legalComments: 'none',
   logLevel: 'warning',
-  plugins: [leaveOut],
+  plugins: [excludeModules],
 };
 
-/** Flags of the runtime in the line that runs the program. */
-function runtimeFlags() {
+/** Reads the flags of Node.js from the `run` line of `system.toml`. */
+function readRuntimeFlags() {
   const text = readFileSync(new URL('system.toml', import.meta.url), 'utf8');
   const line = /^run = "node (.*) target\/fulmarhollowd\.cjs"$/m.exec(text);
-  if (line === null) throw new Error('system.toml does not run the program');
+  if (line === null) throw new Error('system.toml has no matching run line');
   return line[1].split(' ');
 }
 
@@ -70,7 +70,7 @@
 execFileSync(
   process.execPath,
   [
-    ...runtimeFlags(),
+    ...readRuntimeFlags(),
     'deploy/code_cache.js',
     join(directory, 'node.cjs'),
     join(directory, 'node.cache'),
--- a/deploy/code_cache.js
+++ b/deploy/code_cache.js
@@ -1,6 +1,6 @@
 /**
- * Keeps the compiled code of a bundle: `code_cache.js BUNDLE CACHE`, run with
- * the flags that the program is run with, or its runtime will not take it.
+ * Writes the V8 code cache of a bundle: `code_cache.js BUNDLE CACHE`. Must run
+ * with the same Node.js flags as the program, or the cache is rejected.
  */
 import {writeFileSync} from 'node:fs';
 import {resolve} from 'node:path';
@@ -11,8 +11,8 @@
 const [bundleFile, cacheFile] = process.argv.slice(2);
 const {script, run} = loadProgram(resolve(bundleFile));
 
-// Without settings the program ends once all of it is loaded; what it has used
-// by then is compiled and goes into the file, the rest stays as source.
+// Without settings the program ends once all modules are loaded. The functions
+// called by then are compiled and cached; others are compiled when called.
 run();
 setImmediate(() => {
   writeFileSync(cacheFile, script.createCachedData());
--- a/deploy/compiled_program.js
+++ b/deploy/compiled_program.js
@@ -1,7 +1,7 @@
 /**
- * A bundled program as a compiled script, from code that was compiled when it
- * was built where the runtime takes it: reading and compiling the source is
- * most of a start, and every process that was killed pays it again.
+ * Loads a bundled program with the V8 code cache of its build, if the runtime
+ * accepts it. Reading and compiling the source takes most of a start, and again
+ * of each restart of a killed process.
  */
 import {readFileSync} from 'node:fs';
 import Module, {createRequire} from 'node:module';
@@ -9,11 +9,11 @@
 import {Script} from 'node:vm';
 
 /**
- * Loads a bundle. Without `cacheFile`, or with code that another version or
- * other flags of the runtime made, the source is compiled.
+ * Loads a bundle; throws if the file cannot be read. The source is compiled if
+ * `cacheFile` is absent, or is of another version or other flags of Node.js.
  */
 export function loadProgram(bundleFile, cacheFile) {
-  const cachedData = cacheFile && readIfThere(cacheFile);
+  const cachedData = cacheFile && readIfExists(cacheFile);
   const script = new Script(Module.wrap(readFileSync(bundleFile, 'utf8')), {
     filename: bundleFile,
     ...(cachedData ? {cachedData} : {}),
@@ -27,11 +27,11 @@
   return {script, run};
 }
 
-function readIfThere(file) {
+function readIfExists(file) {
   try {
     return readFileSync(file);
   } catch {
-    // Slower, and as good.
+    // Without the cache the program starts more slowly but works the same.
     return undefined;
   }
 }
--- a/deploy/start.js
+++ b/deploy/start.js
@@ -1,4 +1,4 @@
-/** Starts the node that was built beside this file. */
+/** Starts the node from the bundle and code cache in this file's directory. */
 import {dirname, join} from 'node:path';
 import process from 'node:process';
 import {loadProgram} from './compiled_program.js';
--- a/test/unit/deploy/build.test.ts
+++ b/test/unit/deploy/build.test.ts
@@ -40,17 +40,17 @@
   });
 }
 
-test.serial('the built program starts and asks for its settings', t => {
+test.serial('the built program starts and fails without settings', t => {
   const {status, stderr} = startProgram(build.flags);
   t.is(status, 2);
   t.regex(stderr, /ENOENT/);
 });
 
 test.serial(
-  'the runtime takes the compiled code with the flags it is run with',
+  'the runtime accepts the compiled code with the flags of the run line',
   t => {
-    // Code that was compiled with other flags is refused without a word, and each
-    // start is slower by a quarter.
+    // Node.js silently rejects cached code that was compiled with other flags,
+    // and each start then takes a quarter longer.
     const script = `
     const vm = require('node:vm');
     const fs = require('node:fs');
