--- a/test/scenario/policy_change.ts
+++ b/test/scenario/policy_change.ts
@@ -1,11 +1,14 @@
 /**
- * Changes to single fields of a policy document.
+ * Changes single fields of a policy document.
  */
 import type {Policy} from '../../src/version/policy.js';
 
 type Json = string | number | boolean | Json[] | {[name: string]: Json};
 
-/** Returns a policy with one field replaced; list members go by their name. */
+/**
+ * Returns a copy of a policy with one field replaced. In `path`, members of
+ * lists are selected by name; throws if the field does not exist.
+ */
 export function setPolicyField(
   policy: Policy,
   path: readonly string[],
--- a/test/scenario/scenario_ast.ts
+++ b/test/scenario/scenario_ast.ts
@@ -5,13 +5,13 @@
 import type {PlatformFault} from '../../src/emulator/emulated_platform.js';
 import type {UpstreamFault} from '../../src/emulator/upstream_config.js';
 
-/** One host by its name. */
+/** Reference to one host. */
 export interface HostRef {
   readonly kind: 'named';
   readonly name: string;
 }
 
-/** Several hosts. */
+/** Reference to one host, or to all hosts of a service and zone. */
 export type HostsRef =
   | {readonly kind: 'one'; readonly host: HostRef}
   | {
@@ -20,7 +20,7 @@
       readonly zone?: string | undefined;
     };
 
-/** What to send and where. */
+/** Request and target of a `send` or `load` statement. */
 export interface RequestSpec {
   readonly request: {
     readonly method: string;
@@ -32,18 +32,18 @@
     | {readonly kind: 'any'; readonly zone?: string | undefined};
   readonly bodyBytes?: number | undefined;
   readonly timeoutMillis?: number | undefined;
-  /** Without it the statement waits for its results. */
+  /** Name to await the results by; if absent, the statement waits for them. */
   readonly group?: string | undefined;
 }
 
-/** Ways a daemon is acted upon. */
+/** Actions on a daemon. */
 export type DaemonAction =
   'kill' | 'stop' | 'freeze' | 'resume' | 'replace' | 'launch' | 'reload';
 
-/** Links in front of a host. */
+/** Names of the links in front of a host. */
 export type LinkName = 'peer' | 'upstream';
 
-/** What a condition counts. */
+/** The count that a condition compares. */
 export type Measure =
   | {
       readonly kind:
@@ -100,11 +100,11 @@
   readonly measure: Measure;
   readonly operator: '<=' | '>=' | '!=' | '=' | '<' | '>';
   readonly value: number;
-  /** As written, for messages. */
+  /** Source text, used in messages. */
   readonly text: string;
 }
 
-/** What a statement does. */
+/** Statement without its position. */
 export type StatementBody =
   | {
       readonly kind: 'fleet';
@@ -115,7 +115,7 @@
     }
   | {
       readonly kind: 'policy-set';
-      /** Members of lists are addressed by their names. */
+      /** Members of lists are selected by name. */
       readonly path: readonly string[];
       readonly value: number | boolean | string;
     }
@@ -123,7 +123,7 @@
   | {
       readonly kind: 'publish-policy';
       readonly version?: number | undefined;
-      /** Version that the platform gives for the document, if another. */
+      /** Version in the platform's ETag, if it differs from the document's. */
       readonly etagVersion?: number | undefined;
     }
   | {
@@ -149,7 +149,7 @@
       readonly kind: 'daemon';
       readonly action: DaemonAction;
       readonly hosts: HostsRef;
-      /** Runs in the background until awaited by this name. */
+      /** If present, runs in the background until awaited by this name. */
       readonly group?: string | undefined;
     }
   | {
@@ -168,7 +168,7 @@
       readonly kind: 'link-width';
       readonly link: LinkName;
       readonly hosts: HostsRef;
-      /** Without it the link has its full width. */
+      /** Bandwidth limit; none if absent. */
       readonly bytesPerSecond?: number | undefined;
     }
   | {
@@ -194,10 +194,10 @@
     }
   | {readonly kind: 'expect'; readonly condition: Condition};
 
-/** One statement with its line in the file. */
+/** A statement with its line number in the file. */
 export type Statement = StatementBody & {readonly line: number};
 
-/** Statement of one kind. */
+/** A statement of one kind. */
 export type StatementOf<K extends Statement['kind']> = Extract<
   Statement,
   {kind: K}
--- a/test/scenario/scenario_daemons.ts
+++ b/test/scenario/scenario_daemons.ts
@@ -5,11 +5,11 @@
 import type {ScenarioRun} from './scenario_run.js';
 import {fleetOf, resolveHosts} from './scenario_run.js';
 
-/** Longest a planned stop may take before it counts as failed. */
+/** Timeout of a planned stop; then the daemon is killed, with exit code -1. */
 const STOP_TIMEOUT_MILLIS = 30_000;
 const LAUNCH_TIMEOUT_MILLIS = 30_000;
 
-/** Acts on the daemons of the hosts, one after another. */
+/** Applies the action to the daemons of the hosts, one after another. */
 export async function applyDaemonAction(
   run: ScenarioRun,
   statement: StatementOf<'daemon'>,
--- a/test/scenario/scenario_grammar.peggy
+++ b/test/scenario/scenario_grammar.peggy
@@ -1,4 +1,4 @@
-// Grammar of scenario files; docs/design/scenarios.md describes the language.
+// Grammar of the scenario language, which docs/design/scenarios.md describes.
 
 Scenario
   = lines:Line* rest:LastLine? { return [...lines, rest].filter(Boolean); }
@@ -180,7 +180,7 @@
 LinkName
   = "peer" / "upstream"
 
-// Time and verdicts
+// Timing and expectations
 
 Pause
   = "wait" __ millis:Duration { return {kind: 'pause', millis}; }
@@ -229,7 +229,7 @@
 Within
   = __ "within" __ limitMillis:Duration { return limitMillis; }
 
-// Words
+// Tokens
 
 Duration
   = value:Number __ "ms" { return value; }
--- a/test/scenario/scenario_measures.ts
+++ b/test/scenario/scenario_measures.ts
@@ -8,7 +8,7 @@
 import type {ScenarioRequests, CompletedRequest} from './scenario_requests.js';
 import type {VersionMonitor} from './version_monitor.js';
 
-/** What counts are taken from. */
+/** Sources of the counts. */
 export interface MeasureSources {
   readonly fleet: Fleet;
   readonly requests: ScenarioRequests;
@@ -16,11 +16,11 @@
   readonly exitCodes: ReadonlyMap<string, number>;
   resolveHost(ref: HostRef): string;
   resolveHosts(ref: HostsRef): readonly string[];
-  /** Hosts whose daemon is supposed to run. */
+  /** Hosts whose daemon should be running and is not frozen. */
   runningHosts(zone?: string): readonly string[];
 }
 
-/** An execution with the service that it happened at. */
+/** An execution with the service of its upstream. */
 interface ServiceExecution extends Execution {
   readonly service: string;
 }
@@ -28,7 +28,7 @@
 /** Exit code reported for a daemon that has not been stopped. */
 const NOT_STOPPED = -1;
 
-/** Takes one count. */
+/** Evaluates a measure; throws for a group that no statement used. */
 export async function evaluateMeasure(
   sources: MeasureSources,
   measure: Measure,
@@ -122,7 +122,7 @@
   }
 }
 
-/** Compares a count as the condition has it. */
+/** Returns whether a count meets the condition. */
 export function isConditionMet(condition: Condition, count: number): boolean {
   switch (condition.operator) {
     case '=':
@@ -163,7 +163,7 @@
   return lists.flat();
 }
 
-/** Executions at a service for each request of a group. */
+/** Counts executions at a service for each request of a group. */
 async function countByRequest(
   sources: MeasureSources,
   measure: {readonly group: string; readonly service: string},
@@ -182,8 +182,8 @@
 }
 
 /**
- * Most retries that upstreams saw for one request: arrivals at a service and
- * path beyond the calls that upstreams, and for its entry the caller, made.
+ * Returns the highest number of retries for one request: arrivals at a service
+ * and path minus the calls that upstreams made (at the entry: the caller).
  */
 async function maximumRetries(
   sources: MeasureSources,
@@ -210,7 +210,7 @@
   return Math.max(0, ...retryCounts);
 }
 
-/** Arrivals at chosen upstreams caused by the requests of a group. */
+/** Counts arrivals at the given upstreams that requests of a group caused. */
 async function countArrivals(
   sources: MeasureSources,
   measure: Extract<Measure, {kind: 'arrivals'}>,
@@ -228,7 +228,7 @@
     .reduce((sum, {count}) => sum + count, 0);
 }
 
-/** Arrivals at upstreams by request and target. */
+/** Reads the arrivals at all upstreams, by request and call target. */
 async function readArrivals(
   fleet: Fleet,
 ): Promise<ReadonlyMap<string, ReadonlyMap<string, number>>> {
@@ -253,7 +253,7 @@
   targets.set(target, (targets.get(target) ?? 0) + count);
 }
 
-/** Requests told not-run each time they were sent, yet executed. */
+/** Counts requests with only `not-run` outcomes that were executed anyway. */
 async function countFalseNotRun(
   sources: MeasureSources,
   group: string,
--- a/test/scenario/scenario_parser.test.ts
+++ b/test/scenario/scenario_parser.test.ts
@@ -3,7 +3,7 @@
 
 const parse = createScenarioParser();
 
-test('statements carry their line and their parts', t => {
+test('statements are parsed with their line and their fields', t => {
   const statements = parse(
     [
       '# a comment',
@@ -49,7 +49,7 @@
 });
 
 for (const text of ['start\nkill', 'expect answered of g', 'send GET a b']) {
-  test(`names the place of the mistake in ${JSON.stringify(text)}`, t => {
+  test(`reports the position of the syntax error in ${JSON.stringify(text)}`, t => {
     const line = text.split('\n').length;
     const error = t.throws(() => parse(text, 'bad.scenario'));
     t.true(error.message.startsWith(`bad.scenario:${String(line)}:`));
--- a/test/scenario/scenario_parser.ts
+++ b/test/scenario/scenario_parser.ts
@@ -1,5 +1,5 @@
 /**
- * Reads scenario files by a grammar that is compiled when first needed.
+ * Parses scenario files with a parser that is generated at run time.
  */
 import {readFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -7,18 +7,21 @@
 import peggy from 'peggy';
 import type {Statement} from './scenario_ast.js';
 
-/** Where scenario files and the grammar lie; they are not compiled. */
+/** Source directory of the scenario files and the grammar; not in `dist`. */
 export const SCENARIO_DIRECTORY = fileURLToPath(
   new URL('../../../test/scenario/', import.meta.url),
 );
 
-/** Turns the text of a file into statements. */
+/**
+ * Parses the text of a file; throws an Error that starts with file name, line
+ * and column.
+ */
 export type ScenarioParser = (
   text: string,
   fileName: string,
 ) => readonly Statement[];
 
-/** Compiles the grammar. */
+/** Generates the parser from the grammar. */
 export function createScenarioParser(): ScenarioParser {
   const file = join(SCENARIO_DIRECTORY, 'scenario_grammar.peggy');
   const parser = peggy.generate(readFileSync(file, 'utf8'));
--- a/test/scenario/scenario_requests.ts
+++ b/test/scenario/scenario_requests.ts
@@ -1,5 +1,5 @@
 /**
- * Requests of a scenario: names, groups and what came back.
+ * Requests of a scenario with their names, groups and results.
  */
 import * as http from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -8,14 +8,14 @@
 import {sendCallerRequest} from '../../src/emulator/caller.js';
 import type {RequestSpec} from './scenario_ast.js';
 
-/** One request that has been started. */
+/** A request that has been sent. */
 export interface StartedRequest {
   readonly name: string;
   readonly service: string;
   readonly path: string;
 }
 
-/** One request that has ended. */
+/** A request whose result is available. */
 export interface CompletedRequest extends StartedRequest {
   readonly result: CallerResult;
 }
@@ -27,22 +27,22 @@
   readonly pending: Set<Promise<void>>;
 }
 
-/** Finds the caller port a request goes to. */
+/** Returns the caller port to which a request is sent. */
 export type PortResolver = (target: RequestSpec['target']) => number;
 
-/** Sends requests and keeps what came back. */
+/** Sends requests and records their results. */
 export interface ScenarioRequests {
-  /** Starts `count` requests at once. */
+  /** Sends `count` requests concurrently; without a group, waits for them. */
   send(spec: RequestSpec, count: number): Promise<void>;
-  /** Starts requests at even intervals; resolves when all have ended. */
+  /** Sends requests at a constant rate; resolves when all have ended. */
   load(
     spec: RequestSpec,
     ratePerSecond: number,
     durationMillis: number,
   ): Promise<void>;
-  /** Throws for a name that no statement used. */
+  /** Throws for a name that no statement has used. */
   group(name: string): RequestGroup;
-  /** All requests, whatever their group. */
+  /** Completed requests of all groups. */
   all(): readonly CompletedRequest[];
   awaitGroup(name: string): Promise<void>;
   dispose(): void;
@@ -51,7 +51,7 @@
 const DEFAULT_TIMEOUT_MILLIS = 30_000;
 const MILLIS_PER_SECOND = 1000;
 
-/** Creates the requests of one scenario. */
+/** Creates the empty request groups of one scenario. */
 export function createScenarioRequests(
   resolvePort: PortResolver,
 ): ScenarioRequests {
--- a/test/scenario/scenario_run.ts
+++ b/test/scenario/scenario_run.ts
@@ -1,5 +1,5 @@
 /**
- * State of a scenario as far as it has been executed, and what its names mean.
+ * State of a running scenario, and resolution of the names in its statements.
  */
 import type {Fleet} from '../../src/emulator/fleet_launcher.js';
 import type {ManagedProcess} from '../../src/emulator/managed_process.js';
@@ -14,25 +14,25 @@
 import type {ScenarioRequests} from './scenario_requests.js';
 import type {VersionMonitor} from './version_monitor.js';
 
-/** Lines of a daemon's log shown when it ended unasked. */
+/** Log lines in the message about a daemon that exited unexpectedly. */
 const LOG_LINES_COUNT = 5;
 
-/** Results shown when an expectation is not met. */
+/** Maximum number of distinct results in the message of a failed expectation. */
 const RESULTS_COUNT = 20;
 
-/** A scenario as far as it has been executed. */
+/** State of a running scenario. */
 export interface ScenarioRun {
   policy: Policy;
   fleetStatement: StatementOf<'fleet'> | undefined;
   fleet: Fleet | undefined;
   requests: ScenarioRequests | undefined;
   versions: VersionMonitor | undefined;
-  /** Hosts whose daemon is supposed to run. */
+  /** Hosts whose daemon should be running. */
   readonly running: Set<string>;
   readonly frozen: Set<string>;
   readonly exitCodes: Map<string, number>;
   readonly background: Map<string, Promise<void>>;
-  /** Turn of the next request that goes to any host. */
+  /** Round-robin position of requests without a fixed host. */
   nextTargetIndex: number;
 }
 
@@ -52,7 +52,7 @@
   };
 }
 
-/** Results that are not answers, alike ones counted together, for messages. */
+/** Describes the results other than `answered`, with identical ones counted. */
 export function describeResults(run: ScenarioRun): string {
   const counts = new Map<string, number>();
   const lines = requestsOf(run)
@@ -75,8 +75,8 @@
 }
 
 /**
- * Daemons that ended without being told to. A scenario in which one did proves
- * nothing: requests refused by a dead process meet many a bound.
+ * Describes daemons that exited unexpectedly. A scenario in which one did must
+ * fail, because requests rejected by a dead process satisfy many upper bounds.
  */
 export function describeCrashes(run: ScenarioRun): string {
   return [...run.running]
@@ -90,7 +90,7 @@
   return daemon?.log().slice(-LOG_LINES_COUNT).join('\n') ?? '';
 }
 
-/** Name of a host, checked when it is used. */
+/** Returns the name of a host; the fleet checks it on use. */
 export function resolveHost(_run: ScenarioRun, ref: HostRef): string {
   return ref.name;
 }
@@ -110,7 +110,7 @@
     .map(({name}) => name);
 }
 
-/** Hosts whose daemon is a process that is not frozen, ready or not. */
+/** Hosts whose daemon process exists and is not frozen, ready or not. */
 export function watchedHosts(run: ScenarioRun): readonly string[] {
   return [...fleetOf(run).hosts]
     .filter(([, host]) => host.daemon()?.hasExited() === false)
@@ -118,7 +118,7 @@
     .filter(name => !run.frozen.has(name));
 }
 
-/** Hosts that run and are not frozen. */
+/** Hosts whose daemon should be running and is not frozen. */
 export function runningHosts(
   run: ScenarioRun,
   zone?: string,
@@ -131,7 +131,7 @@
   });
 }
 
-/** Any running host in turn, or the one named. */
+/** Returns the caller port of the target host, or of running hosts in turn. */
 export function resolvePort(
   run: ScenarioRun,
   target: RequestSpec['target'],
@@ -143,7 +143,7 @@
   const names = runningHosts(run, target.zone);
   run.nextTargetIndex += 1;
   const name = names[run.nextTargetIndex % names.length];
-  if (name === undefined) throw new Error('no host runs');
+  if (name === undefined) throw new Error('no host is running');
   return fleet.host(name).ports.caller;
 }
 
--- a/test/scenario/scenario_runner.ts
+++ b/test/scenario/scenario_runner.ts
@@ -31,7 +31,10 @@
 } from './scenario_run.js';
 import {monitorVersions} from './version_monitor.js';
 
-/** Runs a scenario to its end; rejects at the first expectation not met. */
+/**
+ * Runs a scenario; rejects at the first expectation that is not met, and if a
+ * daemon has exited unexpectedly.
+ */
 export async function runScenario(
   statements: readonly Statement[],
 ): Promise<void> {
@@ -117,7 +120,7 @@
   }
 }
 
-/** Waits for a task, or leaves it to a later `await` when it has a name. */
+/** Waits for a task, or leaves it to a later `await` if it has a name. */
 async function runTask(
   run: ScenarioRun,
   name: string | undefined,
@@ -125,7 +128,7 @@
 ): Promise<void> {
   const running = task();
   if (name === undefined) return running;
-  // A failure is reported by `await` or at the end, not as unhandled.
+  // `await` or the end of the scenario reports a rejection.
   running.catch(() => undefined);
   run.background.set(name, running);
 }
@@ -135,7 +138,7 @@
   statement: StatementOf<'start'>,
 ): Promise<void> {
   const {fleetStatement} = run;
-  if (fleetStatement === undefined) throw new Error('no fleet was described');
+  if (fleetStatement === undefined) throw new Error('no fleet was defined');
   const fleet = await launchFleet({
     policy: run.policy,
     services: createSmallServices(fleetStatement.hostsCount),
--- a/test/scenario/scenario_suite.ts
+++ b/test/scenario/scenario_suite.ts
@@ -1,6 +1,6 @@
 /**
- * Registers the scenario files as tests, shared out over several test files so
- * that a part of them runs at the same time as another.
+ * Registers the scenario files as tests, split over several test files that AVA
+ * runs concurrently.
  */
 import {readFileSync, readdirSync} from 'node:fs';
 import {join} from 'node:path';
@@ -11,7 +11,7 @@
 const SCENARIO_TIMEOUT_MILLIS = 110_000;
 const PARTS_COUNT = 2;
 
-/** Registers every file whose position in the alphabet falls to the part. */
+/** Registers the files of one part; files are dealt out in alphabetical order. */
 export function registerScenarios(partIndex: number): void {
   const parse = createScenarioParser();
   const files = readdirSync(SCENARIO_DIRECTORY)
@@ -20,7 +20,7 @@
     .filter((_name, index) => index % PARTS_COUNT === partIndex);
   for (const file of files) {
     const text = readFileSync(join(SCENARIO_DIRECTORY, file), 'utf8');
-    // One after another: each starts a dozen processes.
+    // Serial, because each scenario starts a dozen processes.
     test.serial(file, async t => {
       t.timeout(SCENARIO_TIMEOUT_MILLIS);
       await t.notThrowsAsync(runScenario(parse(text, file)));
--- a/test/scenario/version_monitor.ts
+++ b/test/scenario/version_monitor.ts
@@ -1,15 +1,16 @@
 /**
- * Watches the policy in force at every host, from its start on, for steps
- * backwards and for documents that differ under one version.
+ * Polls the policy in force at each host and detects versions that decrease and
+ * documents that differ under the same version.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Fleet} from '../../src/emulator/fleet_launcher.js';
 import {NO_POLICY} from '../../src/emulator/fleet_launcher.js';
 
-/** A watch that runs until stopped. */
+/** A monitor that runs until it is stopped. */
 export interface VersionMonitor {
+  /** Number of polls that found a lower version than a host had before. */
   decreasesCount(): number;
-  /** Documents seen beyond the first of each version. */
+  /** Number of documents beyond the first of each version. */
   conflictsCount(): number;
   stop(): Promise<void>;
 }
@@ -17,8 +18,8 @@
 const POLL_INTERVAL_MILLIS = 50;
 
 /**
- * Starts watching. A host that does not answer is passed over; one that comes
- * back with a lower version than it had counts as a step backwards.
+ * Starts polling. A host that does not respond is skipped; one that returns with
+ * a lower version than before counts as a decrease.
  */
 export function monitorVersions(
   fleet: Fleet,
