--- a/src/emulator/faulty_link.ts
+++ b/src/emulator/faulty_link.ts
@@ -207,7 +207,7 @@
     close: () => {
       if (server.listening) server.close();
       for (const relay of [...relays]) resetRelay(relay);
-      for (const near of unresolvedSockets) near.destroy();
+      for (const clientSocket of unresolvedSockets) clientSocket.destroy();
     },
   };
 }
--- a/src/emulator/fleet_launcher.ts
+++ b/src/emulator/fleet_launcher.ts
@@ -135,11 +135,13 @@
     }
     return daemons;
   };
-  const findOwner = createSocketOwnerFinder(() => [...runningDaemons().keys()]);
+  const findSocketOwner = createSocketOwnerFinder(() => [
+    ...runningDaemons().keys(),
+  ]);
 
   /** Zone of the daemon that opened a connection; `outside` for others. */
   const resolveZone = async (remotePort: number): Promise<string> => {
-    const pid = await findOwner(remotePort);
+    const pid = await findSocketOwner(remotePort);
     const host = runningDaemons().get(pid ?? 0);
     return host?.identity.availabilityZone ?? 'outside';
   };
@@ -254,10 +256,10 @@
 
   try {
     platform = await startPlatform(zoneNames);
-    const spares = new Set(plan.spareHosts);
+    const spareNames = new Set(plan.spareHosts);
     for (const identity of listHosts(plan)) {
       hosts.set(identity.name, await createHost(identity));
-      if (!spares.has(identity.name)) states.set(identity.name, 'live');
+      if (!spareNames.has(identity.name)) states.set(identity.name, 'live');
     }
     await publishPolicyBytes(encodeJson(plan.policy), plan.policy.version);
     await publishHosts(new Map(states));
--- a/src/emulator/upstream_config.ts
+++ b/src/emulator/upstream_config.ts
@@ -116,21 +116,21 @@
   const segments = path.split('/');
   return routes.find(
     route =>
-      route.method === method && matches(route.path.split('/'), segments),
+      route.method === method && matchesPath(route.path.split('/'), segments),
   );
 }
 
-function matches(
+function matchesPath(
   pattern: readonly string[],
   segments: readonly string[],
 ): boolean {
   const hasRest = pattern.at(-1) === '*';
   const fixed = hasRest ? pattern.slice(0, -1) : pattern;
-  const isLengthRight = hasRest
+  const hasMatchingLength = hasRest
     ? segments.length > fixed.length
     : segments.length === fixed.length;
   return (
-    isLengthRight &&
+    hasMatchingLength &&
     fixed.every((part, i) => part.startsWith(':') || part === segments[i])
   );
 }
--- a/test/scenario/policy_change.ts
+++ b/test/scenario/policy_change.ts
@@ -16,19 +16,23 @@
 ): Policy {
   const copy = structuredClone(policy) as unknown as Json;
   const last = path.at(-1) ?? '';
-  let node = copy;
-  for (const part of path.slice(0, -1)) node = childOf(node, part, path);
-  if (typeof node !== 'object' || Array.isArray(node) || !(last in node)) {
+  let parent = copy;
+  for (const part of path.slice(0, -1)) parent = findChild(parent, part, path);
+  if (
+    typeof parent !== 'object' ||
+    Array.isArray(parent) ||
+    !(last in parent)
+  ) {
     throw new Error(`the policy has no field ${path.join('.')}`);
   }
-  node[last] = value;
+  parent[last] = value;
   return copy as unknown as Policy;
 }
 
-function childOf(node: Json, part: string, path: readonly string[]): Json {
-  const child = Array.isArray(node)
-    ? node.find(member => (member as {name?: Json}).name === part)
-    : (node as {[name: string]: Json})[part];
+function findChild(parent: Json, part: string, path: readonly string[]): Json {
+  const child = Array.isArray(parent)
+    ? parent.find(member => (member as {name?: Json}).name === part)
+    : (parent as {[name: string]: Json})[part];
   if (child === undefined) {
     throw new Error(`the policy has no ${part} for ${path.join('.')}`);
   }
