--- a/src/process/admission/entry_admission.ts
+++ b/src/process/admission/entry_admission.ts
@@ -4,7 +4,7 @@
  *
  * Load pattern: demand on a service deep in the call graph exceeds its
  * capacity. A request that it would reject is rejected here, before any work is
- * done for it; an admitted request is carried through. A request that needs a
+ * done for it; an admitted request runs to completion. A request that needs a
  * service without any upstream is rejected as well: it would fail after all
  * services on the path have worked for it.
  */
--- a/src/process/admission/load_table.ts
+++ b/src/process/admission/load_table.ts
@@ -287,8 +287,8 @@
 }
 
 /**
- * Raises the level of an outdated report, which must not keep requests out
- * after its cause has gone.
+ * Raises the level of an outdated report, which must not cause rejections after
+ * the overload has ended.
  */
 function currentLevel(report: LoadReport, now: number): number {
   const agedMillis = now - report.madeAtMillis - FRESH_MILLIS;
--- a/src/process/admission/rank_demand.ts
+++ b/src/process/admission/rank_demand.ts
@@ -43,7 +43,7 @@
  * Weight of one window in a rising and in a falling estimate. Growing work must
  * be detected within the second in which it builds up a queue. Work that
  * shrinks in an overload is mostly that of requests whose earlier calls failed;
- * if a rank were admitted for it, it would arrive as a burst.
+ * if a rank were admitted again for that reason, it would arrive as a burst.
  */
 const RISE_WEIGHT = 0.5;
 const FALL_WEIGHT = 0.1;
--- a/src/process/log/decision_log.ts
+++ b/src/process/log/decision_log.ts
@@ -13,8 +13,8 @@
 /** Log of decisions, one event per line. */
 export abstract class DecisionLog {
   /**
-   * Logs an event about one request, or one that others can trigger at any
-   * rate. Events above the rate limit are dropped and counted.
+   * Logs an event about one request, or one that clients or other nodes can
+   * trigger at any rate. Events above the rate limit are dropped and counted.
    */
   abstract logRequestEvent(event: string, fields: DecisionFields): void;
   /** Logs a change of the process's state or lifecycle; not rate-limited. */
@@ -47,6 +47,10 @@
   });
   const buckets = new Map<string, TokenBucket>();
 
+  /**
+   * Returns how many events of this kind were dropped since the last logged
+   * one; `undefined` if this one is to be dropped too.
+   */
   const tryTakeToken = (event: string): number | undefined => {
     const now = nowMillis();
     const bucket = buckets.get(event) ?? {
--- a/src/process/log/node_metrics.ts
+++ b/src/process/log/node_metrics.ts
@@ -16,16 +16,17 @@
   recordRefusal(reason: HopReason): void;
   recordUnknownOutcome(reason: HopReason): void;
   /**
-   * Records that the own upstream rejected a request as meant for another one.
+   * Records that the local upstream rejected a request as meant for another
+   * one.
    */
   recordMisdirected(): void;
-  /** Records a crash of the own upstream with requests in progress. */
+  /** Records a crash of the local upstream with requests in progress. */
   recordUpstreamCrash(): void;
   /** Records a request refused because it crashes, or may crash, upstreams. */
   recordCrashRefusal(reason: string): void;
   /** Records that a request suspected of crashes got a response. */
   recordCrashClearance(): void;
-  /** Records a request received from the own upstream or from a client. */
+  /** Records a request received from the local upstream or from a client. */
   recordEntered(isFromUpstream: boolean): void;
   recordStoreLost(): void;
   /** Records that the store was restored from an older copy. */
--- a/src/process/log/response_times.ts
+++ b/src/process/log/response_times.ts
@@ -1,9 +1,9 @@
 /**
  * Histograms of response times, by route and status.
  *
- * Purpose: CPU time per response. The metrics library builds an object and a
- * string of all labels for each observation; this implementation needs two
- * lookups.
+ * Replaces the histogram of the metrics library to save CPU time per response:
+ * the library builds an object and a string of all labels for each observation,
+ * while this implementation needs two lookups.
  */
 
 export interface ResponseTimes {
--- a/src/process/membership/document_cache.ts
+++ b/src/process/membership/document_cache.ts
@@ -19,7 +19,7 @@
   /** Replaces the documents with a read of all of them. */
   recordRead(read: DocumentBatch): void;
   /** Applies changes that follow the current position. */
-  recordChanges(read: DocumentBatch): void;
+  recordChanges(batch: DocumentBatch): void;
   /**
    * Returns the changes after a position; `undefined` if some of them are
    * unknown.
@@ -62,8 +62,8 @@
       }
       position = read.position;
     },
-    recordChanges: read => {
-      for (const change of read.documents) {
+    recordChanges: batch => {
+      for (const change of batch.documents) {
         if (change.text === undefined) {
           documents.delete(change.key);
           recordDeletion(change.key, change.revision);
@@ -71,7 +71,7 @@
           documents.set(change.key, change);
         }
       }
-      position = read.position;
+      position = batch.position;
     },
     changesSince: from => {
       if (from.epoch !== position.epoch) return undefined;
--- a/src/process/membership/document_relay.ts
+++ b/src/process/membership/document_relay.ts
@@ -30,5 +30,5 @@
   setWatching(isWatching: boolean): void;
   /** Records a read of all documents. */
   recordRead(read: DocumentBatch): void;
-  recordChanges(read: DocumentBatch): void;
+  recordChanges(batch: DocumentBatch): void;
 }
--- a/src/process/membership/document_source.ts
+++ b/src/process/membership/document_source.ts
@@ -54,9 +54,11 @@
   /** Returns all current documents. */
   read(prefix: string): Promise<DocumentBatch>;
   /**
-   * Returns the changes after a revision as soon as there are any; rejects when
-   * the signal aborts it. The epoch of the result may differ from the
-   * revision's: the changes then omit what was written in between.
+   * Returns the changes after a revision as soon as there are any, no changes
+   * if there are none within `waitMillis`, or `history-lost` if the source no
+   * longer has all of them. Rejects when the signal aborts it. The epoch of the
+   * result may differ from the revision's: the changes then omit what was
+   * written in between.
    */
   watch(
     prefix: string,
--- a/src/process/membership/follower_pacing.ts
+++ b/src/process/membership/follower_pacing.ts
@@ -41,9 +41,9 @@
 
 /**
  * Timeout of a watch while nothing changes. A silent connection is detected
- * when its watch is overdue, and no bound applies for 3 s after such a fault;
- * with the time added for the response, and the shortest bound of 2 s on top, a
- * later change is still applied in time.
+ * when its watch is overdue. The bound on applying a change does not count for
+ * 3 s after such a fault, and the shortest bound is 2 s: a watch that ends
+ * within these 5 s, including the time added for the response, is in time.
  */
 const IDLE_WATCH_TIMEOUT_MILLIS = 3500;
 
--- a/src/process/membership/upstream_directory.ts
+++ b/src/process/membership/upstream_directory.ts
@@ -197,8 +197,9 @@
   const mayBeCopied = (): boolean => nowMillis() < maybeCopiedUntilMillis;
 
   /**
-   * A start serves one service; an entry for an unconfigured one is not its
-   * own.
+   * Returns whether an entry replaces the configured service of its start by an
+   * unconfigured one. A start serves one service only, so such an entry comes
+   * from another writer.
    */
   const losesConfiguredService = (
     entry: UpstreamEntry,
--- a/src/process/membership/upstream_index.ts
+++ b/src/process/membership/upstream_index.ts
@@ -23,19 +23,19 @@
  */
 export function indexUpstreams(
   known: Iterable<KnownUpstream>,
-  isServiceNamed: (service: string) => boolean,
+  isServiceConfigured: (service: string) => boolean,
 ): UpstreamIndex {
-  const named: KnownUpstream[] = [];
+  const configured: KnownUpstream[] = [];
   const unconfiguredIds = new Set<string>();
   for (const upstream of known) {
     const {id, service} = upstream.entry;
-    if (isServiceNamed(service)) named.push(upstream);
+    if (isServiceConfigured(service)) configured.push(upstream);
     else unconfiguredIds.add(id);
   }
-  const latestByHost = findLatestByHost(named);
+  const latestByHost = findLatestByHost(configured);
   const supersededIds = new Set<string>();
   const readyByService = new Map<string, KnownUpstream[]>();
-  for (const upstream of named) {
+  for (const upstream of configured) {
     const {entry} = upstream;
     const latest = latestByHost.get(entry.hostKey);
     if (latest !== undefined && isLater(latest, upstream)) {
--- a/src/process/membership/watcher_selection.ts
+++ b/src/process/membership/watcher_selection.ts
@@ -45,7 +45,8 @@
 const FAILURE_COOLDOWN_MILLIS = 5000;
 
 /**
- * Consecutive failures after which this node watches the source, for that time.
+ * Consecutive failures after which this node watches the source itself, for
+ * `FAILURE_COOLDOWN_MILLIS`.
  */
 const MAX_FAILURES_COUNT = 2;
 
--- a/src/process/placement/expected_response.ts
+++ b/src/process/placement/expected_response.ts
@@ -33,11 +33,11 @@
  * Time in which an upstream is expected to respond to a request that is sent
  * now.
  */
-export function expectedResponseMillis(expected: UpstreamSnapshot): number {
-  const {upstream, averageMillis, requestMillis, now} = expected;
+export function expectedResponseMillis(snapshot: UpstreamSnapshot): number {
+  const {upstream, averageMillis, requestMillis, now} = snapshot;
   const coldFactor = upstream.coldUntilMillis > now ? COLD_FACTOR : 1;
   const coldAverageMillis = averageMillis * coldFactor;
-  const busyRatio = busyRatioOf(expected);
+  const busyRatio = busyRatioOf(snapshot);
   const waitMillis =
     Math.max(0, busyRatio - 1) * coldAverageMillis * WAIT_WEIGHT;
   const busyMillis =
@@ -49,8 +49,8 @@
  * Requests in flight and queued there relative to its slots; above 1, some
  * wait.
  */
-export function busyRatioOf(expected: UpstreamSnapshot): number {
-  const {upstream, ownInFlightCount, report} = expected;
+export function busyRatioOf(snapshot: UpstreamSnapshot): number {
+  const {upstream, ownInFlightCount, report} = snapshot;
   const limitCount = Math.max(
     1,
     report?.limitCount ?? upstream.entry.slotsCount,
--- a/src/process/placement/placement.ts
+++ b/src/process/placement/placement.ts
@@ -28,6 +28,11 @@
 
 /** Chooses upstreams for the requests of one node. */
 export interface PlacementChooser {
+  /**
+   * Returns an upstream of the service other than the excluded ones, `undefined`
+   * if there is none. Lost and recently unreachable upstreams are used only if
+   * there is no other.
+   */
   choose(
     service: string,
     excludedIds: ReadonlySet<string>,
--- a/src/process/placement/upstream_score.ts
+++ b/src/process/placement/upstream_score.ts
@@ -57,9 +57,9 @@
 const OTHER_ZONE_RATIO = 0.2;
 
 /**
- * Time that a certain failure costs: the 400 ms that a retry at another
- * upstream takes, at the weight of a wait, so that a request that can wait is
- * not sent where it fails.
+ * Cost of an attempt that is sure to fail, as time: the 400 ms that a retry at
+ * another upstream takes, at the weight of a wait, so that a request that can
+ * wait is not sent where it fails.
  */
 const FAILURE_MILLIS = 1600;
 
--- a/src/process/placement/zone_preference.ts
+++ b/src/process/placement/zone_preference.ts
@@ -32,7 +32,7 @@
  */
 const SAFETY_RATIO = 2;
 
-/** Time that may be spent for staying in the zone. */
+/** Additional response time that is accepted to stay in the zone. */
 export function sameZoneAllowanceMillis(candidate: SameZoneCandidate): number {
   const {objectiveMillis, expectedMillis, busyRatio} = candidate;
   const spareMillis = objectiveMillis - SAFETY_RATIO * expectedMillis;
--- a/src/process/quarantine/crash_evidence.ts
+++ b/src/process/quarantine/crash_evidence.ts
@@ -91,7 +91,7 @@
   /**
    * Fingerprints of the requests in progress; true if cleared of this crash.
    */
-  readonly isClearedOf: Map<string, boolean>;
+  readonly clearedByFingerprint: Map<string, boolean>;
 }
 
 /** Creates empty evidence. */
@@ -127,13 +127,13 @@
     fingerprint: string,
     isCleared: boolean,
   ): void => {
-    const wasCleared = crash.isClearedOf.get(fingerprint);
+    const wasCleared = crash.clearedByFingerprint.get(fingerprint);
     if (wasCleared === true || wasCleared === isCleared) return;
     if (wasCleared === undefined) {
       pairsCount += 1;
       addTo(crashesByFingerprint, fingerprint, crash);
     }
-    crash.isClearedOf.set(fingerprint, isCleared);
+    crash.clearedByFingerprint.set(fingerprint, isCleared);
     cachedDigest = undefined;
     if (isCleared) removeFrom(suspects, fingerprint, crash);
     else addTo(suspects, fingerprint, crash);
@@ -143,8 +143,8 @@
   const remove = (crash: KnownCrash): void => {
     crashes.delete(crash.crashId);
     cachedDigest = undefined;
-    pairsCount -= crash.isClearedOf.size;
-    for (const fingerprint of crash.isClearedOf.keys()) {
+    pairsCount -= crash.clearedByFingerprint.size;
+    for (const fingerprint of crash.clearedByFingerprint.keys()) {
       removeFrom(crashesByFingerprint, fingerprint, crash);
       removeFrom(suspects, fingerprint, crash);
       updateQuarantine(fingerprint);
@@ -156,9 +156,11 @@
    * during one crash only and are cleared moments later: their clearances would
    * make up most of the messages and change no decision.
    */
-  const sharedClearances = ({isClearedOf}: KnownCrash): ReadonlySet<string> => {
+  const sharedClearances = ({
+    clearedByFingerprint,
+  }: KnownCrash): ReadonlySet<string> => {
     const shared = new Set<string>();
-    for (const [fingerprint, isCleared] of isClearedOf) {
+    for (const [fingerprint, isCleared] of clearedByFingerprint) {
       const count = crashesByFingerprint.get(fingerprint)?.size ?? 0;
       if (isCleared && count > 1) shared.add(fingerprint);
     }
@@ -185,7 +187,7 @@
       crashId: crash.crashId,
       upstreamId: crash.upstreamId,
       ageMillis: Math.round(nowMillis() - crash.atMillis),
-      fingerprints: [...crash.isClearedOf.keys()].filter(
+      fingerprints: [...crash.clearedByFingerprint.keys()].filter(
         fingerprint => !shared.has(fingerprint),
       ),
       clearedFingerprints: [...shared],
@@ -197,7 +199,7 @@
       crashId: fields.crashId,
       upstreamId: fields.upstreamId,
       atMillis: nowMillis() - fields.ageMillis,
-      isClearedOf: new Map<string, boolean>(),
+      clearedByFingerprint: new Map<string, boolean>(),
     };
     crashes.set(crash.crashId, crash);
     cachedDigest = undefined;
@@ -215,8 +217,10 @@
    */
   const findEvictable = (): KnownCrash | undefined => {
     const byAge = [...crashes.values()].sort((a, b) => a.atMillis - b.atMillis);
-    const hasQuarantined = ({isClearedOf}: KnownCrash): boolean =>
-      [...isClearedOf.keys()].some(fingerprint => quarantined.has(fingerprint));
+    const hasQuarantined = ({clearedByFingerprint}: KnownCrash): boolean =>
+      [...clearedByFingerprint.keys()].some(fingerprint =>
+        quarantined.has(fingerprint),
+      );
     return byAge.find(crash => !hasQuarantined(crash)) ?? byAge[0];
   };
 
--- a/src/process/quota/quota_account.ts
+++ b/src/process/quota/quota_account.ts
@@ -33,8 +33,8 @@
   /** Share of the fleet that this coordinator serves. */
   readonly fleetRatio: () => number;
   /**
-   * Whether another coordinator may have admitted the burst recently, with
-   * demand that this one has to learn.
+   * Whether another coordinator may have admitted the burst recently. This one
+   * then starts without a burst, and has to learn the demand.
    */
   readonly isTakenOver: boolean;
   readonly nowMillis: () => number;
--- a/src/process/quota/quota_enforcer.ts
+++ b/src/process/quota/quota_enforcer.ts
@@ -27,7 +27,8 @@
 export interface QuotaEnforcer {
   /**
    * Decides whether to admit a request. Waits for the coordinator only if no
-   * recent allowance is known and a wrong decision would matter.
+   * recent allowance is known and a wrong decision at each node could exceed the
+   * tolerated excess.
    */
   decide(
     organisation: Organisation,
@@ -42,7 +43,10 @@
   recordNotRun(organisation: Organisation): void;
   /** Handles a report of another node and returns the allowances. */
   receive(report: QuotaReport): readonly QuotaAllowance[];
-  /** Reports changed counts; called at intervals. */
+  /**
+   * Reports changed counts, and probes zones without messages; called at
+   * intervals.
+   */
   tick(): void;
 }
 
--- a/src/process/quota/quota_limiter.ts
+++ b/src/process/quota/quota_limiter.ts
@@ -65,7 +65,10 @@
 /** Result of a check. */
 export type QuotaCheckResult =
   | DefiniteQuotaCheckResult
-  /** No recent allowance is known, and a wrong decision would matter. */
+  /**
+   * No recent allowance is known, and a wrong decision at each node could exceed
+   * the tolerated excess.
+   */
   | {readonly kind: 'unknown'};
 
 /** Result of a check that does not need another allowance. */
@@ -115,8 +118,8 @@
   hasChanged: boolean;
   readonly offeredCounts: number[];
   /**
-   * Fractions of requests that the admitted ratios of each rank have added up
-   * to.
+   * Sum of the admitted ratios by rank, one for each offered request, less 1
+   * for each admitted request.
    */
   readonly credits: number[];
   usedMillis: number;
--- a/src/process/quota/zone_reachability.ts
+++ b/src/process/quota/zone_reachability.ts
@@ -4,7 +4,7 @@
  *
  * A zone counts as partitioned when several of its nodes do not respond and no
  * message from it has arrived since. It stays so until a message arrives. A
- * single node that does not respond has most likely lost its host.
+ * single node that does not respond has most likely failed with its host.
  */
 
 /** A node and its zone. */
--- a/src/process/retries/hop_registry.ts
+++ b/src/process/retries/hop_registry.ts
@@ -1,7 +1,7 @@
 /**
- * Registry of the requests received from other nodes (hops). A request belongs
- * to its id and not to its connection, so that a sender can resume it after the
- * connection was lost.
+ * Registry of the requests received from other nodes (hops). A request is
+ * identified by its id and not by its connection, so that a sender can resume it
+ * after the connection was lost.
  */
 
 /** Result of a claim, which a sender makes to resume a hop. */
--- a/src/process/retries/in_flight_parents.ts
+++ b/src/process/retries/in_flight_parents.ts
@@ -35,7 +35,7 @@
 /** A request in progress at the upstream. */
 export interface InFlightParent {
   readonly origin: CallOrigin;
-  /** Adds the downstream calls caused by one call. */
+  /** Adds calls made on behalf of the request, directly or further down. */
   addCalls(counts: CallCounts): void;
   /** Records that a call made for this request failed. */
   markFailedCall(): void;
--- a/src/process/retries/retry_budget.ts
+++ b/src/process/retries/retry_budget.ts
@@ -24,9 +24,9 @@
   /** Takes one retry and the calls it will cause, or nothing at all. */
   tryTake(counts: CallCounts): boolean;
   /**
-   * Takes a retry of a request that an upstream rejected, unless
-   * this bucket's share is spent: the budget is spread over the window instead of
-   * spent in its first second.
+   * Takes a retry of a request that an upstream rejected, unless the share of
+   * the current bucket is spent: the budget is spread over the window instead
+   * of spent in its first second.
    */
   tryTakePaced(counts: CallCounts): boolean;
   /**
--- a/src/process/retries/retry_grant.ts
+++ b/src/process/retries/retry_grant.ts
@@ -1,6 +1,6 @@
 /**
- * Conserved grant of retries that one request may spend across its whole call
- * chain: retries are moved between hops, never copied.
+ * Grant of retries that one request may spend across its whole call chain.
+ * Retries are moved between hops, never copied, so that their sum never grows.
  */
 
 /** Retries passed on with one attempt; reclaimed or discarded exactly once. */
--- a/src/process/stop/stop_plan.ts
+++ b/src/process/stop/stop_plan.ts
@@ -7,13 +7,13 @@
  * every request is busy until its grace period ends and leaves requests
  * unanswered. Clients get a few seconds to detect that this host is not ready;
  * later requests are rejected immediately as not run, with a time to retry
- * after. Calls of the own upstream are accepted until the requests in progress
- * are abandoned: without these calls the requests would fail earlier, and
- * afterwards no process would be left to answer the calls.
+ * after. Calls of the local upstream are accepted until the requests in
+ * progress are abandoned: without these calls the requests would fail earlier,
+ * and afterwards no process would be left to answer the calls.
  */
 
 export interface IncomingRequest {
-  /** A call that the own upstream makes for a request it is processing. */
+  /** A call that the local upstream makes for a request it is processing. */
   readonly isFromUpstream: boolean;
 }
 
--- a/test/unit/process/admission/fleet_overload.test.ts
+++ b/test/unit/process/admission/fleet_overload.test.ts
@@ -81,9 +81,9 @@
   test(`replay ${seed}: most requests that a service runs in a burst succeed`, t => {
     // Guards against wasted work in a burst of 1.8 times the usual load: of
     // 12,090 requests that a service ran, 8,811 failed for a missing call three
-    // hops below. Of one kind that could have been served to a fifth, an eighth
-    // was, and a more important kind was rejected while a less important one
-    // was admitted. The burst is admitted for a second, and its lookups wait
+    // hops below. A fifth of one kind could have been served, and an eighth was;
+    // a more important kind was rejected while a less important one was
+    // admitted. The burst is admitted for a second, and its lookups wait
     // behind those of more important requests until all of them are abandoned
     // after part of their calls, which then look like little demand. Causes:
     // among equals the queue took the oldest, so that none got all of its
--- a/test/unit/process/admission/load_poller.test.ts
+++ b/test/unit/process/admission/load_poller.test.ts
@@ -62,9 +62,9 @@
 });
 
 test('upstreams with outdated reports do not raise the level of those with fresh ones', t => {
-  // Guards against the same at a node that receives reports of one of four
-  // upstreams: the levels of the other three rose with age, and theirs was the
-  // median.
+  // Guards against requests that are admitted for a service that sheds, at a
+  // node that receives reports of one of four upstreams: the levels of the other
+  // three rose with age, and theirs was the median.
   const {loadTable, report, advance} = createFixture();
   for (const id of ['a', 'b', 'c', 'd']) report(id, 10);
   advance(2500);
--- a/test/unit/process/membership/upstream_restarts.test.ts
+++ b/test/unit/process/membership/upstream_restarts.test.ts
@@ -116,7 +116,7 @@
   t.deepEqual(readyIds(), []);
 });
 
-test('an entry that changes to an unconfigured service is not its own', t => {
+test('an entry that changes to an unconfigured service is not applied', t => {
   const {directory, readyIds} = createFixture();
   directory.put([bornAt(1, 1)]);
   directory.put([bornAt(1, 2, {service: 'nobody-s'})]);
--- a/test/unit/process/placement/weighted_targets.test.ts
+++ b/test/unit/process/placement/weighted_targets.test.ts
@@ -9,7 +9,7 @@
   ],
 });
 
-test('parts get their share over any short run', t => {
+test('targets get their share of any short sequence of requests', t => {
   const targets = createWeightedTargets(() => 0.3);
   for (let run = 0; run < 20; run += 1) {
     const chosen = Array.from({length: 10}, () => targets.choose(SPLIT));
--- a/test/unit/process/retries/attempt_history.test.ts
+++ b/test/unit/process/retries/attempt_history.test.ts
@@ -22,12 +22,12 @@
 
 test('an upstream that may have run it, or has no capacity, is not tried again', t => {
   const history = createAttemptHistory();
-  for (const [id, end] of [
+  for (const [id, outcome] of [
     ['a', 'ran'],
     ['b', 'full'],
   ] as const) {
     history.begin(id);
-    history.end(end);
+    history.end(outcome);
   }
   t.false(history.readmitRejectingUpstreams());
   t.deepEqual([...history.excludedIds], ['a', 'b']);
