--- a/src/request/attempt_runner.ts
+++ b/src/request/attempt_runner.ts
@@ -54,7 +54,7 @@
   readonly attemptTimeouts: AttemptTimeouts;
   readonly stop: StopPlan;
   readonly nowMillis: () => number;
-  readonly onAttempt: (end: ExecutionResult) => void;
+  readonly onAttempt: (result: ExecutionResult) => void;
   readonly onRetry: (request: AttemptedRequest, reason: HopReason) => void;
 }
 
@@ -100,12 +100,12 @@
     const {entry} = placement.upstream;
     upstreamId = entry.id;
     history.begin(entry.id);
-    const {end, isAbandoned} = await attemptWithTimeout(options, request, {
+    const {result, isAbandoned} = await attemptWithTimeout(options, request, {
       entry,
       call: {...call, usualMillis},
       history,
     });
-    lastResult = end;
+    lastResult = result;
     placement.end(attemptOutcomeOf(lastResult));
     options.onAttempt(lastResult);
     history.end(offerOutcomeOf(lastResult));
@@ -162,11 +162,11 @@
 ): Promise<void> {
   const {placement, remote, nowMillis} = options;
   if (!call.isRepeatable) return;
-  const canReachOther = (ids: ReadonlySet<string>): boolean =>
+  const hasReachableUpstream = (ids: ReadonlySet<string>): boolean =>
     placement.hasReachableAlternative(service, ids, remote.isLost);
   const untilMillis = nowMillis() + REACHABLE_WAIT_MILLIS;
-  while (!canReachOther(history.excludedIds)) {
-    if (canReachOther(NO_IDS)) history.readmitAllUpstreams();
+  while (!hasReachableUpstream(history.excludedIds)) {
+    if (hasReachableUpstream(NO_IDS)) history.readmitAllUpstreams();
     else if (call.cancel.isCancelled || nowMillis() >= untilMillis) return;
     else await sleep(REACHABLE_POLL_MILLIS);
   }
@@ -209,7 +209,7 @@
       rules.mayAbandonAttempt(request, history.ranCount),
   });
   if (timed.isAbandoned) attemptTimeouts.recordTimeout(key);
-  else if (timed.end.kind === 'answered') {
+  else if (timed.result.kind === 'answered') {
     attemptTimeouts.recordResponse(key, nowMillis() - startedMillis);
   }
   return timed;
@@ -234,13 +234,13 @@
   });
 }
 
-function isSilent(end: ExecutionResult): boolean {
-  return end.kind === 'unknown' && end.reason === 'silent';
+function isSilent(result: ExecutionResult): boolean {
+  return result.kind === 'unknown' && result.reason === 'silent';
 }
 
-function offerOutcomeOf(end: ExecutionResult): OfferOutcome {
-  if (end.kind !== 'refused') return 'ran';
-  switch (end.reason) {
+function offerOutcomeOf(result: ExecutionResult): OfferOutcome {
+  if (result.kind !== 'refused') return 'ran';
+  switch (result.reason) {
     case 'not-executed':
       return 'rejected';
     case 'queue-full':
@@ -251,16 +251,16 @@
   }
 }
 
-function reasonOf(end: ExecutionResult): HopReason {
-  return end.kind === 'answered' ? 'none' : end.reason;
+function reasonOf(result: ExecutionResult): HopReason {
+  return result.kind === 'answered' ? 'none' : result.reason;
 }
 
-function attemptOutcomeOf(end: ExecutionResult): AttemptOutcome {
-  if (end.kind === 'answered') {
-    if (end.answer.statusCode < 500) return 'served';
-    return end.hasFailedCall ? 'neutral' : 'failed';
+function attemptOutcomeOf(result: ExecutionResult): AttemptOutcome {
+  if (result.kind === 'answered') {
+    if (result.answer.statusCode < 500) return 'served';
+    return result.hasFailedCall ? 'neutral' : 'failed';
   }
-  switch (end.reason) {
+  switch (result.reason) {
     case 'draining':
     case 'other-upstream':
     case 'misdirected':
--- a/src/request/attempt_timeout.ts
+++ b/src/request/attempt_timeout.ts
@@ -17,7 +17,7 @@
 
 /** Result of an attempt with a timeout. */
 export interface TimedAttemptResult {
-  readonly end: ExecutionResult;
+  readonly result: ExecutionResult;
   /** The attempt timed out; the retry is already charged to the retry budget. */
   readonly isAbandoned: boolean;
 }
@@ -28,7 +28,7 @@
 ): Promise<TimedAttemptResult> {
   const {call, attemptTimeoutMillis} = attempt;
   if (attemptTimeoutMillis === undefined) {
-    return {end: await attempt.execute(call), isAbandoned: false};
+    return {result: await attempt.execute(call), isAbandoned: false};
   }
   const source = createCancelSource();
   const callerCancel = call.cancel.onCancel(source.cancel);
@@ -38,9 +38,9 @@
     isAbandoned = true;
     source.cancel();
   }, attemptTimeoutMillis);
-  const end = await attempt.execute({...call, cancel: source.signal});
+  const result = await attempt.execute({...call, cancel: source.signal});
   clearTimeout(timer);
   callerCancel.dispose();
-  if (!isAbandoned || end.kind !== 'unknown') return {end, isAbandoned};
-  return {end: {...end, reason: 'timeout'}, isAbandoned};
+  if (!isAbandoned || result.kind !== 'unknown') return {result, isAbandoned};
+  return {result: {...result, reason: 'timeout'}, isAbandoned};
 }
--- a/src/request/crash_detector.ts
+++ b/src/request/crash_detector.ts
@@ -24,10 +24,14 @@
 export interface CrashDetector {
   /** Records that a request is dispatched. */
   begin(request: DispatchedRequest): void;
-  /** Records the end of a request; true if the upstream crashed while executing it. */
+  /**
+   * Records the end of a request; true if the upstream crashed while executing it. False
+   * at once if the rest of the response body is still to come: a crash before its end is
+   * reported to `onCrash` only.
+   */
   end(
     request: DispatchedRequest,
-    end: UpstreamResult,
+    result: UpstreamResult,
   ): boolean | Promise<boolean>;
 }
 
@@ -89,15 +93,16 @@
 
   return {
     begin: executions.begin,
-    end: (request, end) => {
-      if (end.kind === 'answered' && end.answer.bodyRest !== undefined) {
-        void endAfterBody(request, end.answer.bodyRest);
+    end: (request, result) => {
+      if (result.kind === 'answered' && result.answer.bodyRest !== undefined) {
+        void endAfterBody(request, result.answer.bodyRest);
         return false;
       }
-      if (end.kind === 'unknown' && end.reason === 'connection-lost') {
+      if (result.kind === 'unknown' && result.reason === 'connection-lost') {
         return endLostConnection(request);
       }
-      const isCancelled = end.kind === 'unknown' && end.reason === 'cancelled';
+      const isCancelled =
+        result.kind === 'unknown' && result.reason === 'cancelled';
       if (isCancelled) executions.cancel(request);
       else executions.end(request);
       return false;
--- a/src/request/crash_quarantine.ts
+++ b/src/request/crash_quarantine.ts
@@ -30,14 +30,15 @@
   holds(request: QuarantineRequest): boolean;
   /**
    * Admits a request to the local upstream, or returns the reason for a refusal. An
-   * isolated request may wait for its slot. Call `end` for each admitted request.
+   * isolated request may wait until no other one is executed. Call `end` for each admitted
+   * request.
    */
   admit(
     request: QuarantineRequest,
     wait: SemaphoreWait,
   ): CrashRefusal | undefined | Promise<CrashRefusal | undefined>;
-  /** Ends an admitted request; `end` is unset if it was not dispatched. */
-  end(request: QuarantineRequest, end?: UpstreamResult): void;
+  /** Ends an admitted request; `result` is unset if it was not dispatched. */
+  end(request: QuarantineRequest, result?: UpstreamResult): void;
   /** Number of crashes so far with this request in progress. */
   crashesCount(request: FingerprintedRequest): number;
 }
@@ -121,9 +122,9 @@
   /** Checks the request again after the wait, since more crashes may have been reported. */
   const admitAfterWait = async (
     request: QuarantineRequest,
-    turn: Promise<boolean>,
+    acquired: Promise<boolean>,
   ): Promise<CrashRefusal | undefined> => {
-    if (!(await turn)) return refuse(request, 'isolated');
+    if (!(await acquired)) return refuse(request, 'isolated');
     isolated = request;
     const reason = refusalOf(request);
     if (reason === undefined) return undefined;
@@ -133,11 +134,11 @@
 
   const recordOutcome = (
     request: QuarantineRequest,
-    end?: UpstreamResult,
+    result?: UpstreamResult,
   ): void => {
     releaseIsolation(request);
-    if (evidence.isEmpty || end?.kind !== 'answered') return;
-    if (!provesExecution(end.answer.statusCode)) return;
+    if (evidence.isEmpty || result?.kind !== 'answered') return;
+    if (!provesExecution(result.answer.statusCode)) return;
     if (!evidence.clear(fingerprintListOf(request))) return;
     options.onCleared(request, cachedFingerprintsOf(request));
   };
@@ -157,26 +158,30 @@
       if (crashesCount(request) < ISOLATED_CRASHES_COUNT) return undefined;
       const reason = refusalOf(request);
       if (reason !== undefined) return refuse(request, reason);
-      const turn = semaphore.acquire(wait);
-      if (turn !== true) return admitAfterWait(request, turn);
+      const acquired = semaphore.acquire(wait);
+      if (acquired !== true) return admitAfterWait(request, acquired);
       isolated = request;
       return undefined;
     },
-    end: (request, end) => {
-      const rest = end?.kind === 'answered' ? end.answer.bodyRest : undefined;
+    end: (request, result) => {
+      const rest =
+        result?.kind === 'answered' ? result.answer.bodyRest : undefined;
       if (rest === undefined) {
-        recordOutcome(request, end);
+        recordOutcome(request, result);
         return;
       }
       void waitUntilClosed(rest).then(isWhole => {
-        recordOutcome(request, isWhole ? end : undefined);
+        recordOutcome(request, isWhole ? result : undefined);
       });
     },
     crashesCount,
   };
 }
 
-/** A request that crashes its upstream gets no response, so a response clears it. */
+/**
+ * Whether a response with this status shows that the request was executed. A request that
+ * crashes its upstream gets no response, so such a response clears it.
+ */
 function provesExecution(statusCode: number): boolean {
   return statusCode < STATUS_SERVER_ERROR && !NOT_RUN_STATUSES.has(statusCode);
 }
--- a/src/request/entered_request.ts
+++ b/src/request/entered_request.ts
@@ -57,7 +57,10 @@
 /** Reserved for the final response to reach the client before its timeout. */
 const RESPONSE_MARGIN_MILLIS = 15;
 
-/** Returns the client's id, or a generated one if clients need not send an id. */
+/**
+ * Returns the client's id, or a generated one if clients need not send an id; `undefined`
+ * if a required id is missing.
+ */
 export function readAttemptId(
   wireHeaders: WireHeaders,
   exchange: HttpExchange,
@@ -81,7 +84,7 @@
   const origin = parent?.origin ?? {
     importance: isLocal
       ? LEAST_IMPORTANT
-      : importanceOf(rankOf(routed), attemptId),
+      : importanceOf(rankOfRoutedRequest(routed), attemptId),
     organisationName: organisation?.name,
     rootId: attemptId,
     rootRouteName: route.name,
@@ -108,7 +111,11 @@
 }
 
 /** Ranks requests without an organisation below those of all organisations. */
-function rankOf({route, table, organisation}: RoutedRequest): number {
+function rankOfRoutedRequest({
+  route,
+  table,
+  organisation,
+}: RoutedRequest): number {
   return rankOfRequest({
     routeRank: route.rank,
     lowestRouteRank: table.lowestRank,
--- a/src/request/entry_responder.ts
+++ b/src/request/entry_responder.ts
@@ -22,20 +22,20 @@
 /** Sends responses. */
 export interface EntryResponder {
   /** Sends the result of the attempts. */
-  sendResult(request: OpenRequest, end: AttemptsResult): void;
+  sendResult(request: OpenRequest, result: AttemptsResult): void;
   /** Records that the client disconnected before the response. */
-  recordClientLeft(request: OpenRequest, end: AttemptsResult): void;
-  /** Not executed: entry admission shed it. */
+  recordClientLeft(request: OpenRequest, result: AttemptsResult): void;
+  /** Refuses a request as not executed: entry admission shed it. */
   shed(exchange: HttpExchange, request: ShedRequest): void;
-  /** Not executed: its organisation is over its quota. */
+  /** Refuses a request as not executed: its organisation is over its quota. */
   refuseOverQuota(exchange: HttpExchange, request: OverQuotaRequest): void;
-  /** Not executed: this node is stopping and accepts no more requests. */
+  /** Refuses a request as not executed: this node is stopping and accepts no more. */
   refuseDuringStop(exchange: HttpExchange, request: RequestDuringStop): void;
-  /** Not executed: this node is not ready yet. */
+  /** Refuses a request as not executed: this node is not ready yet. */
   refuse(exchange: HttpExchange, refusal: {readonly reason: string}): void;
-  /** The request is invalid. */
+  /** Rejects a request as not executed: it is invalid. */
   reject(exchange: HttpExchange, statusCode: number, reason: string): void;
-  /** Not executed: the client must send a valid API key. */
+  /** Rejects a request as not executed: the client must send a valid API key. */
   challenge(exchange: HttpExchange, reason: string): void;
   /** Counts a request that entered, by its sender (upstream or client). */
   countEntered(isFromUpstream: boolean): void;
@@ -173,20 +173,22 @@
     return Math.round(millis);
   };
 
-  const describeResult = (request: OpenRequest, end: AttemptsResult) => ({
+  const describeResult = (request: OpenRequest, result: AttemptsResult) => ({
     requestId: request.attemptId,
     route: request.route.name,
     service: request.service,
-    upstream: end.upstreamId,
-    sentCount: end.sentCount,
+    upstream: result.upstreamId,
+    sentCount: result.sentCount,
     configurationVersion: options.configurationVersion(),
     reason:
-      end.lastResult.kind === 'answered' ? 'answered' : end.lastResult.reason,
+      result.lastResult.kind === 'answered'
+        ? 'answered'
+        : result.lastResult.reason,
   });
 
-  const sendAnswered = (request: OpenRequest, end: AttemptsResult): void => {
-    if (end.lastResult.kind !== 'answered') return;
-    const {answer} = end.lastResult;
+  const sendAnswered = (request: OpenRequest, result: AttemptsResult): void => {
+    if (result.lastResult.kind !== 'answered') return;
+    const {answer} = result.lastResult;
     const {exchange} = request;
     const headers = [
       ...forwardedHeaders(answer.headers, NO_HEADERS),
@@ -200,9 +202,9 @@
     const millis = recordResponse(request, answer.statusCode);
     if (answer.statusCode < 500) return;
     log.logRequestEvent('answered-failure', {
-      ...describeResult(request, end),
+      ...describeResult(request, result),
       statusCode: answer.statusCode,
-      hasFailedCall: end.lastResult.hasFailedCall,
+      hasFailedCall: result.lastResult.hasFailedCall,
       millis,
     });
   };
@@ -227,14 +229,14 @@
   };
 
   return {
-    sendResult: (request, end) => {
+    sendResult: (request, result) => {
       const {exchange, route} = request;
-      if (end.lastResult.kind === 'answered') {
-        sendAnswered(request, end);
+      if (result.lastResult.kind === 'answered') {
+        sendAnswered(request, result);
         return;
       }
-      if (!end.mayHaveRun) {
-        const {reason} = end.lastResult;
+      if (!result.mayHaveRun) {
+        const {reason} = result.lastResult;
         const retryAfter =
           reason === 'quarantined'
             ? QUARANTINED_RETRY_AFTER_MILLIS
@@ -242,7 +244,7 @@
         writeRefusal(exchange, reason, retryAfter);
         const millis = recordResponse(request, STATUS_UNAVAILABLE);
         log.logRequestEvent('refused', {
-          ...describeResult(request, end),
+          ...describeResult(request, result),
           retryAfterMillis: Math.round(retryAfter),
           millis,
         });
@@ -250,24 +252,24 @@
       }
       // While the client is connected, only the deadline cancels its request.
       const statusCode =
-        end.lastResult.reason === 'cancelled'
+        result.lastResult.reason === 'cancelled'
           ? STATUS_GATEWAY_TIMEOUT
           : STATUS_BAD_GATEWAY;
       writeEmptyResponse(exchange, statusCode, [
-        ...failureNotes('unknown', end.lastResult.reason),
+        ...failureNotes('unknown', result.lastResult.reason),
         ...retryNotes(request),
       ]);
       const millis = recordResponse(request, statusCode);
       log.logRequestEvent('failed', {
-        ...describeResult(request, end),
+        ...describeResult(request, result),
         statusCode,
         millis,
       });
     },
-    recordClientLeft: (request, end) => {
+    recordClientLeft: (request, result) => {
       const millis = Math.round(nowMillis() - request.arrivedMillis);
       log.logRequestEvent('client-left', {
-        ...describeResult(request, end),
+        ...describeResult(request, result),
         millis,
       });
     },
--- a/src/request/first_dispatch.ts
+++ b/src/request/first_dispatch.ts
@@ -13,7 +13,10 @@
   | 'first'
   /** At once: the upstream has confirmed or rejected the id, or the wait timed out. */
   | 'settled'
-  /** When the promise resolves, after `HOLD_MILLIS` plus `HOLD_LOOP_TURNS_COUNT` turns. */
+  /**
+   * When the promise resolves: once the upstream has confirmed or rejected the id, at the
+   * latest `HOLD_MILLIS` plus `HOLD_LOOP_TURNS_COUNT` turns after the first dispatch.
+   */
   | Promise<void>;
 
 /** First dispatch for each id of the upstream. */
--- a/src/request/inbound_exchange.ts
+++ b/src/request/inbound_exchange.ts
@@ -32,7 +32,7 @@
   /** Loads of other upstreams to report to senders. */
   readonly otherLoads: () => readonly LoadReport[];
   readonly nowMillis: () => number;
-  readonly onEnd: (call: LocalCall, end: ExecutionResult) => void;
+  readonly onEnd: (call: LocalCall, result: ExecutionResult) => void;
 }
 
 /** Creates the inbound exchanges of a node. */
@@ -44,17 +44,17 @@
     handle: async hop => {
       options.peerPositions.recordPeerPosition(hop.request.knownPosition);
       const call = callOf(options, hop);
-      const end = await options.execution.execute(call);
-      options.onEnd(call, end);
+      const result = await options.execution.execute(call);
+      options.onEnd(call, result);
       const unspentCount = call.origin.grant.close();
       hop.answer({
         answer: {
-          ...outcomeOf(end),
+          ...outcomeOf(result),
           unspentCount,
           loads: loadsFor(options, hop.isLoadReportDue()),
           knownPosition: options.peerPositions.applied,
         },
-        received: end.kind === 'answered' ? end.answer : undefined,
+        received: result.kind === 'answered' ? result.answer : undefined,
       });
     },
   };
@@ -113,29 +113,29 @@
   'outcome' | 'reason' | 'hasFailedCall' | 'calls' | 'crashesCount'
 >;
 
-function outcomeOf(end: ExecutionResult): OutcomeFields {
-  switch (end.kind) {
+function outcomeOf(result: ExecutionResult): OutcomeFields {
+  switch (result.kind) {
     case 'answered':
       return {
         outcome: 'answered',
         reason: 'none',
-        hasFailedCall: end.hasFailedCall,
-        calls: end.calls,
+        hasFailedCall: result.hasFailedCall,
+        calls: result.calls,
       };
     case 'refused':
       return {
         outcome: 'refused',
-        reason: end.reason,
+        reason: result.reason,
         hasFailedCall: false,
         calls: NO_CALLS,
       };
     case 'unknown':
       return {
         outcome: 'unknown',
-        reason: end.reason,
-        hasFailedCall: end.hasFailedCall,
+        reason: result.reason,
+        hasFailedCall: result.hasFailedCall,
         calls: NO_CALLS,
-        crashesCount: end.crashesCount,
+        crashesCount: result.crashesCount,
       };
   }
 }
--- a/src/request/local_execution.ts
+++ b/src/request/local_execution.ts
@@ -80,8 +80,8 @@
   level.recordArrival(call.origin.importance, queue.load().averageMillis);
   options.rejections.recordArrival();
   const wait = waitForSlot(options, call);
-  const waitEnd = typeof wait === 'string' ? wait : await wait;
-  if (waitEnd !== 'started') return refused(waitEnd);
+  const waitResult = typeof wait === 'string' ? wait : await wait;
+  if (waitResult !== 'started') return refused(waitResult);
   const fetched = call.fetchBody();
   const body = fetched instanceof Promise ? await fetched : fetched;
   if (body === undefined) return refuseAndReleaseSlot(options, 'cancelled');
@@ -95,25 +95,25 @@
   if (crashRefusal !== undefined) {
     return refuseAndReleaseSlot(options, crashRefusal);
   }
-  const late = lateRefusalReason(options, call);
-  if (late !== undefined) {
+  const lateRefusal = lateRefusalReason(options, call);
+  if (lateRefusal !== undefined) {
     options.quarantine.end(request);
-    return refuseAndReleaseSlot(options, late);
+    return refuseAndReleaseSlot(options, lateRefusal);
   }
   const startedMillis = nowMillis();
   const parent = options.parents.open(call.attemptId, call.origin);
-  const {end, hasCrashed} = await observeCrash(options, request, () =>
+  const {result, hasCrashed} = await observeCrash(options, request, () =>
     dispatchToCurrent(options, call, body),
   );
   parent.close();
-  recordResult(options, call, end, nowMillis() - startedMillis);
+  recordResult(options, call, result, nowMillis() - startedMillis);
   if (hasCrashed) return crashResult(options, request, parent);
-  return toExecutionResult(end, parent);
+  return toExecutionResult(result, parent);
 }
 
 /** Result of a request at the upstream, and whether the upstream crashed during it. */
 interface ObservedResult {
-  readonly end: UpstreamResult;
+  readonly result: UpstreamResult;
   readonly hasCrashed: boolean;
 }
 
@@ -123,12 +123,12 @@
   run: () => Promise<UpstreamResult>,
 ): Promise<ObservedResult> {
   crashes.begin(request);
-  const end = await run();
-  const crashCheck = crashes.end(request, end);
+  const result = await run();
+  const crashCheck = crashes.end(request, result);
   const hasCrashed =
     typeof crashCheck === 'boolean' ? crashCheck : await crashCheck;
-  quarantine.end(request, end);
-  return {end, hasCrashed};
+  quarantine.end(request, result);
+  return {result, hasCrashed};
 }
 
 function crashResult(
@@ -170,7 +170,7 @@
 ): Promise<WaitResult> | WaitResult {
   const {queue} = options;
   const {nowMillis} = options;
-  let finish: (end: WaitResult) => void = () => undefined;
+  let finish: (result: WaitResult) => void = () => undefined;
   const startByMillis = Math.min(
     call.startByMillis,
     call.deadlineMillis - MIN_LEFT_MILLIS,
@@ -199,10 +199,10 @@
       },
       Math.max(0, startByMillis - nowMillis()),
     );
-    finish = end => {
+    finish = result => {
       clearTimeout(timer);
       cancelled.dispose();
-      resolve(end);
+      resolve(result);
     };
   });
 }
@@ -240,17 +240,21 @@
   const turn = upstream.acquireDispatchTurn(call.upstreamId);
   if (turn instanceof Promise) await turn;
   const dispatchedId = upstream.currentIdOf(call.upstreamId);
-  const end = await dispatch(
+  const result = await dispatch(
     options,
     {...call, upstreamId: dispatchedId},
     body,
   );
-  if (end.kind !== 'not-run' || end.reason !== 'misdirected') return end;
-  options.onMisdirected?.(call, end.actualId);
-  upstream.markMisdirected(call.upstreamId, end.actualId);
+  if (result.kind !== 'not-run' || result.reason !== 'misdirected') {
+    return result;
+  }
+  options.onMisdirected?.(call, result.actualId);
+  upstream.markMisdirected(call.upstreamId, result.actualId);
   const currentId = upstream.currentIdOf(call.upstreamId);
-  if (currentId === call.upstreamId || currentId === dispatchedId) return end;
-  if (!mayDispatchAgain(options, call, turn === 'first')) return end;
+  if (currentId === call.upstreamId || currentId === dispatchedId) {
+    return result;
+  }
+  if (!mayDispatchAgain(options, call, turn === 'first')) return result;
   return dispatch(options, {...call, upstreamId: currentId}, body);
 }
 
@@ -296,11 +300,11 @@
     cancel: source.signal,
   };
   return new Promise(resolve => {
-    options.sender.send(request, end => {
+    options.sender.send(request, result => {
       clearTimeout(timer);
       cancelListener.dispose();
       lostListener.dispose();
-      resolve(end);
+      resolve(result);
     });
   });
 }
@@ -309,40 +313,42 @@
 function recordResult(
   options: LocalExecutionOptions,
   call: LocalCall,
-  end: UpstreamResult,
+  result: UpstreamResult,
   heldMillis: number,
 ): void {
   const {queue, upstream, slowness} = options;
-  if (end.kind === 'answered') queue.release(heldMillis);
+  if (result.kind === 'answered') queue.release(heldMillis);
   else queue.releaseWithoutSample();
-  if (end.kind === 'answered') {
+  if (result.kind === 'answered') {
     upstream.markAnswered(call.upstreamId);
     const {usualMillis} = call;
     if (usualMillis !== undefined) slowness.observe(heldMillis, usualMillis);
   }
-  if (end.kind !== 'not-run') return;
-  if (end.reason === 'unreachable') upstream.markUnreachable();
-  else if (end.reason === 'not-executed') options.rejections.recordRejected();
+  if (result.kind !== 'not-run') return;
+  if (result.reason === 'unreachable') upstream.markUnreachable();
+  else if (result.reason === 'not-executed') {
+    options.rejections.recordRejected();
+  }
 }
 
 function toExecutionResult(
-  end: UpstreamResult,
+  result: UpstreamResult,
   parent: InFlightParent,
 ): ExecutionResult {
-  switch (end.kind) {
+  switch (result.kind) {
     case 'answered':
       return {
         kind: 'answered',
-        answer: end.answer,
+        answer: result.answer,
         calls: parent.calls,
         hasFailedCall: parent.hasFailedCall,
       };
     case 'not-run':
-      return refused(end.reason);
+      return refused(result.reason);
     case 'unknown':
       return {
         kind: 'unknown',
-        reason: end.reason,
+        reason: result.reason,
         hasFailedCall: parent.hasFailedCall,
       };
   }
--- a/src/request/local_upstream.ts
+++ b/src/request/local_upstream.ts
@@ -11,10 +11,14 @@
 
 /** State of the upstream of this host. */
 export interface LocalUpstream {
-  /** Why a request for this upstream id is refused on arrival. */
+  /**
+   * Why a request for this upstream id is refused on arrival; `undefined` if it is
+   * accepted. One request per interval is accepted as a probe of an unreachable upstream.
+   */
   refusalFor(upstreamId: string): HopReason | undefined;
-  /** Why a request that was admitted must no longer be dispatched. */
+  /** Why an admitted request must no longer be dispatched; `undefined` if it may be. */
   leavingReason(upstreamId: string): HopReason | undefined;
+  /** Records that a connection to the upstream failed. */
   markUnreachable(): void;
   /** Records that the upstream rejected this id and returned its actual one. */
   markMisdirected(upstreamId: string, actualId: string | undefined): void;
@@ -24,6 +28,7 @@
   markAnswered(upstreamId: string): void;
   /** Decides when a request with this id may be dispatched. */
   acquireDispatchTurn(upstreamId: string): DispatchTurn;
+  /** Records that the upstream can be reached. */
   markReached(): void;
   /** False while connections to the upstream fail. */
   readonly isReachable: boolean;
@@ -90,7 +95,7 @@
     return undefined;
   };
 
-  const misdirected = (upstreamId: string): HopReason | undefined => {
+  const misdirectedReason = (upstreamId: string): HopReason | undefined => {
     const known = findRejectedId(upstreamId);
     if (known === undefined || known.currentId !== undefined) return undefined;
     return 'other-upstream';
@@ -104,7 +109,7 @@
   const isOfOwnService = (upstreamId: string): boolean =>
     directory.find(upstreamId)?.entry.service === options.ownService?.();
 
-  const unreachable = (): HopReason | undefined => {
+  const unreachableReason = (): HopReason | undefined => {
     if (failuresInARow === 0) return undefined;
     const now = nowMillis();
     if (now < retryAtMillis) return 'unreachable';
@@ -126,7 +131,9 @@
 
   return {
     refusalFor: upstreamId =>
-      leavingReason(upstreamId) ?? misdirected(upstreamId) ?? unreachable(),
+      leavingReason(upstreamId) ??
+      misdirectedReason(upstreamId) ??
+      unreachableReason(),
     leavingReason,
     markUnreachable: () => {
       failuresInARow += 1;
--- a/src/request/outbound_exchange.ts
+++ b/src/request/outbound_exchange.ts
@@ -118,8 +118,8 @@
   if (routed === undefined || refuseIfStopping(options, exchange, routed)) {
     return;
   }
-  const isWithin = checkQuota(options, exchange, routed);
-  if (!(isWithin instanceof Promise ? await isWithin : isWithin)) return;
+  const isAdmitted = checkQuota(options, exchange, routed);
+  if (!(isAdmitted instanceof Promise ? await isAdmitted : isAdmitted)) return;
   const entered = createEnteredRequest(options, exchange, routed);
   if (!checkEntryAdmission(options, entered)) return;
   if (exchange.expectsContinue) exchange.response.writeContinue();
@@ -231,20 +231,20 @@
   const cancelListener = exchange.cancel.onCancel(source.cancel);
   const timer = startDeadline(options, entered, source);
   const call = createCall(options, entered, {headers, body, source});
-  const end = await options.attempts.run({route, service, call});
+  const result = await options.attempts.run({route, service, call});
   clearTimeout(timer);
   cancelListener.dispose();
   options.open.delete(entered);
-  recordCallTree(options, entered, end);
-  if (organisation !== undefined && !end.mayHaveRun) {
+  recordCallTree(options, entered, result);
+  if (organisation !== undefined && !result.mayHaveRun) {
     options.quotas.recordNotRun(organisation);
   }
-  if (parent !== undefined) reportToParent(parent, service, end);
+  if (parent !== undefined) reportToParent(parent, service, result);
   if (exchange.cancel.isCancelled) {
-    options.responder.recordClientLeft(entered, end);
+    options.responder.recordClientLeft(entered, result);
     return;
   }
-  options.responder.sendResult(entered, end);
+  options.responder.sendResult(entered, result);
 }
 
 function startDeadline(
@@ -292,9 +292,9 @@
 function recordCallTree(
   options: OutboundOptions,
   entered: EnteredRequest,
-  end: AttemptsResult,
+  result: AttemptsResult,
 ): void {
-  const {lastResult} = end;
+  const {lastResult} = result;
   if (lastResult.kind !== 'answered') return;
   const counts = new Map(lastResult.calls);
   counts.set(entered.service, (counts.get(entered.service) ?? 0) + 1);
@@ -306,9 +306,9 @@
 function reportToParent(
   parent: InFlightParent,
   service: string,
-  end: AttemptsResult,
+  result: AttemptsResult,
 ): void {
-  const {lastResult} = end;
+  const {lastResult} = result;
   parent.addCalls(new Map([[service, 1]]));
   if (lastResult.kind === 'answered') {
     parent.addCalls(lastResult.calls);
--- a/src/request/retry_rules.ts
+++ b/src/request/retry_rules.ts
@@ -19,7 +19,7 @@
    */
   mayRetry(
     request: AttemptedRequest,
-    end: ExecutionResult,
+    result: ExecutionResult,
     ranCount: number,
   ): boolean;
   /**
@@ -75,10 +75,10 @@
    */
   const mayRetryExecuted = (
     request: AttemptedRequest,
-    end: ExecutionResult,
+    result: ExecutionResult,
   ): boolean => {
     const counts = expectedCalls(request);
-    if (end.kind === 'unknown' && end.reason === 'silent') {
+    if (result.kind === 'unknown' && result.reason === 'silent') {
       return budget.tryTakeReserved(counts);
     }
     return tryTakeRetry(request, counts);
@@ -96,19 +96,21 @@
     budget.tryTake(expectedCalls(request));
 
   return {
-    mayRetry: (request, end, ranCount) => {
+    mayRetry: (request, result, ranCount) => {
       const {call, route} = request;
       if (call.cancel.isCancelled) return false;
       if (leftMillis(request) < MIN_LEFT_MILLIS) return false;
-      if (end.kind === 'refused') {
-        if (end.reason === 'quarantined') return false;
-        if (end.reason === 'misdirected') return mayRetryMisdirected(request);
-        return !wasDispatched(end) || mayRetryRejected(request);
+      if (result.kind === 'refused') {
+        if (result.reason === 'quarantined') return false;
+        if (result.reason === 'misdirected') {
+          return mayRetryMisdirected(request);
+        }
+        return !wasDispatched(result) || mayRetryRejected(request);
       }
-      if (!isWorthRetrying(end, request)) return false;
-      if (mayCrashAgain(end)) return false;
+      if (!isWorthRetrying(result, request)) return false;
+      if (mayCrashAgain(result)) return false;
       if (ranCount >= route.maxAttemptsCount) return false;
-      return mayRetryExecuted(request, end);
+      return mayRetryExecuted(request, result);
     },
     mayAbandonAttempt: (request, ranCount) => {
       const {call, route} = request;
@@ -123,23 +125,23 @@
 }
 
 /** Whether the upstream received the request, executed or not. */
-export function wasDispatched(end: ExecutionResult): boolean {
-  if (end.kind !== 'refused') return true;
-  return end.reason === 'not-executed' || end.reason === 'misdirected';
+export function wasDispatched(result: ExecutionResult): boolean {
+  if (result.kind !== 'refused') return true;
+  return result.reason === 'not-executed' || result.reason === 'misdirected';
 }
 
 /** Each retry of a request that may have caused several crashes risks another upstream. */
-function mayCrashAgain(end: ExecutionResult): boolean {
-  if (end.kind !== 'unknown') return false;
-  return (end.crashesCount ?? 0) >= ISOLATED_CRASHES_COUNT;
+function mayCrashAgain(result: ExecutionResult): boolean {
+  if (result.kind !== 'unknown') return false;
+  return (result.crashesCount ?? 0) >= ISOLATED_CRASHES_COUNT;
 }
 
 /** Only failures of the upstream itself are retried: a failed downstream call would fail again. */
 function isWorthRetrying(
-  end: Exclude<ExecutionResult, {readonly kind: 'refused'}>,
+  result: Exclude<ExecutionResult, {readonly kind: 'refused'}>,
   request: AttemptedRequest,
 ): boolean {
   if (!request.call.isRepeatable) return false;
-  if (end.kind === 'unknown') return !end.hasFailedCall;
-  return end.answer.statusCode >= 500 && !end.hasFailedCall;
+  if (result.kind === 'unknown') return !result.hasFailedCall;
+  return result.answer.statusCode >= 500 && !result.hasFailedCall;
 }
--- a/test/unit/request/attempt_runner.test.ts
+++ b/test/unit/request/attempt_runner.test.ts
@@ -20,13 +20,13 @@
 const nowMillis = (): number => performance.now();
 
 const RULES: RetryRules = {
-  mayRetry: (_request, _end, sentCount) => sentCount < 4,
+  mayRetry: (_request, _result, ranCount) => ranCount < 4,
   mayAbandonAttempt: () => false,
 };
 
 /** Runs a request at upstreams 1 to 3, of which 2 and 3 are lost; returns the ids tried. */
 async function tried(
-  end: ExecutionResult,
+  result: ExecutionResult,
   isRepeatable = true,
 ): Promise<readonly string[]> {
   const ids: string[] = [];
@@ -53,7 +53,7 @@
     remote: {
       execute: target => {
         ids.push(target.id);
-        return Promise.resolve(end);
+        return Promise.resolve(result);
       },
       isLost: ({id}) => id !== '1',
       queryLoads: () => undefined,
--- a/test/unit/request/crash_detector.test.ts
+++ b/test/unit/request/crash_detector.test.ts
@@ -56,8 +56,8 @@
   const {detector, begin, crashes, probesCount} = createFixture('refused');
   const [first, second, third] = ['a', 'b', 'c'].map(begin);
   t.false(detector.end(third!, REJECTED));
-  const verdicts = [detector.end(first!, LOST), detector.end(second!, LOST)];
-  t.deepEqual(await Promise.all(verdicts), [true, true]);
+  const crashChecks = [detector.end(first!, LOST), detector.end(second!, LOST)];
+  t.deepEqual(await Promise.all(crashChecks), [true, true]);
   t.deepEqual(crashes, [['a', 'b']]);
   t.is(probesCount(), 1);
 });
--- a/test/unit/request/crash_quarantine.test.ts
+++ b/test/unit/request/crash_quarantine.test.ts
@@ -87,7 +87,7 @@
   t.is(refusals.length, 3);
 });
 
-test('a response to another caller does not clear a request for the caller whose own request crashes upstreams', t => {
+test('a response to one caller does not clear the same request of another caller', t => {
   const {quarantine, crash} = createFixture();
   const culprit = requestTo('/culprit');
   for (let index = 0; index < 3; index += 1) crash(culprit);
--- a/test/unit/request/misdirected.test.ts
+++ b/test/unit/request/misdirected.test.ts
@@ -72,7 +72,7 @@
       onCleared: () => undefined,
     }),
     sender: {
-      send: ({upstreamId}, onEnd: (end: UpstreamResult) => void) => {
+      send: ({upstreamId}, onEnd: (result: UpstreamResult) => void) => {
         sentIds.push(upstreamId);
         onEnd(
           upstreamId === actualId
@@ -116,8 +116,8 @@
   const {execute, sentIds, advance} = createFixture();
   t.deepEqual(await execute('u-1'), {kind: 'refused', reason: MISDIRECTED});
   for (let sender = 0; sender < 5; sender += 1) {
-    const end = await execute('u-1');
-    t.deepEqual(end, {kind: 'refused', reason: 'other-upstream'});
+    const result = await execute('u-1');
+    t.deepEqual(result, {kind: 'refused', reason: 'other-upstream'});
   }
   t.is(sentIds.length, 1);
   // The rejection expires, since it may have been faulty.
@@ -146,10 +146,10 @@
     service: 'orders',
     call: executionCall(nowMillis()),
   };
-  const mayGoOn = (): boolean =>
+  const mayRetry = (): boolean =>
     rules.mayRetry(request, {kind: 'refused', reason: MISDIRECTED}, 0);
-  const answers = Array.from({length: 12}, mayGoOn);
-  t.is(answers.filter(Boolean).length, 3);
+  const decisions = Array.from({length: 12}, mayRetry);
+  t.is(decisions.filter(Boolean).length, 3);
   t.true(
     rules.mayRetry(request, {kind: 'refused', reason: 'other-upstream'}, 0),
   );
--- a/test/unit/request/retry_rules.test.ts
+++ b/test/unit/request/retry_rules.test.ts
@@ -46,14 +46,14 @@
   // Such a retry was always allowed, as if the request had never arrived.
   const {budget, rules, request} = createFixture();
   const requestsCount = 400;
-  let repeatsCount = 0;
+  let retriesCount = 0;
   for (let sent = 0; sent < requestsCount; sent += 1) {
     budget.recordRequest(new Map([['orders', 1]]));
-    if (rules.mayRetry(request(), SILENT, 1)) repeatsCount += 1;
+    if (rules.mayRetry(request(), SILENT, 1)) retriesCount += 1;
   }
   const allowedCount = BOUND.ratio * requestsCount + BOUND.slackCount;
-  t.true(repeatsCount <= allowedCount, String(repeatsCount));
-  t.true(repeatsCount >= 0.75 * BOUND.ratio * requestsCount);
+  t.true(retriesCount <= allowedCount, String(retriesCount));
+  t.true(retriesCount >= 0.75 * BOUND.ratio * requestsCount);
 });
 
 test('what other retries leave of the budget is reserved for retries after silence', t => {
