--- a/src/daemon/document_listeners.ts
+++ b/src/daemon/document_listeners.ts
@@ -44,13 +44,13 @@
   const {documents, directory} = options;
   let hasUpstreams = false;
 
-  let lastFullChanges: readonly DocumentChange[] = [];
+  let lastUpstreamsSnapshot: readonly DocumentChange[] = [];
 
   const applyConfigurations = (changes: readonly DocumentChange[]): void => {
     for (const change of changes) applyConfiguration(options, change);
     // A configuration may add information about upstreams that are already listed.
-    if (documents.listsAllUpstreams && lastFullChanges.length > 0) {
-      replaceUpstreams(options, lastFullChanges);
+    if (documents.listsAllUpstreams && lastUpstreamsSnapshot.length > 0) {
+      replaceUpstreams(options, lastUpstreamsSnapshot);
     }
   };
   const configurationListener: DocumentListener = {
@@ -62,7 +62,7 @@
   };
   const events = sourceEvents(options, 'upstreams');
   const replaceAll = (changes: readonly DocumentChange[]): void => {
-    if (replaceUpstreams(options, changes)) lastFullChanges = changes;
+    if (replaceUpstreams(options, changes)) lastUpstreamsSnapshot = changes;
   };
   const upstreamsListener: DocumentListener = {
     onCall: events.onCall,
@@ -111,14 +111,14 @@
 ): SourceEvents {
   const {log, metrics} = options;
   return {
-    onCall: end => {
-      if (end.call === 'relayed') {
+    onCall: result => {
+      if (result.call === 'relayed') {
         metrics.recordRelayedChanges();
-        log.logRequestEvent('documents-relayed', {...end});
+        log.logRequestEvent('documents-relayed', {...result});
         return;
       }
-      metrics.recordStoreCall(end.call);
-      log.logRequestEvent('store-call', {...end});
+      metrics.recordStoreCall(result.call);
+      log.logRequestEvent('store-call', {...result});
     },
     onLost: reason => {
       metrics.recordStoreLost();
--- a/src/daemon/http_documents.ts
+++ b/src/daemon/http_documents.ts
@@ -142,8 +142,8 @@
     request.on('response', response => {
       readText(response, fail, text => {
         clearTimeout(timer);
-        const read = toDocumentBatch(url.pathname, response, text);
-        if (read !== undefined) resolve(read);
+        const batch = toDocumentBatch(url.pathname, response, text);
+        if (batch !== undefined) resolve(batch);
         else fail(new Error(`status ${String(response.statusCode)}`));
       });
     });
@@ -168,7 +168,10 @@
   });
 }
 
-/** The epoch is always 0, so a document whose version went back counts as not newer. */
+/**
+ * Returns `undefined` for an unexpected status. The epoch is always 0, so a document whose
+ * version went back counts as not newer.
+ */
 function toDocumentBatch(
   key: string,
   response: http.IncomingMessage,
@@ -188,7 +191,7 @@
   }
 }
 
-/** Reads the version from an entity tag of the form `"12"`. */
+/** Reads the version from an entity tag of the form `"12"`; 0 for any other. */
 function revisionOf(etag: string | undefined): number {
   const digits = /^"(\d+)"$/.exec(etag ?? '')?.[1];
   return digits === undefined ? 0 : Number(digits);
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -18,12 +18,15 @@
  */
 const RETRY_BOUND = {ratio: 0.2, windowMillis: 10_000, slackCount: 50};
 
-/** Quota window: time for nodes to detect a surge before the quota is enforced. */
+/**
+ * Excess over a quota that is tolerated within a window: nodes need time to detect a surge
+ * before the quota is enforced.
+ */
 const QUOTA_BOUND = {windowMillis: 5000, overageRatio: 0.25, slackCount: 20};
 
 /**
- * Longest time from a publication until it is applied, so that a policy or host list that
- * is published in several steps is applied at once.
+ * Longest time from a publication until it is applied. Changes are batched for a part of
+ * it, so that a policy or host list that is published in several steps is applied at once.
  */
 const APPLY_WITHIN_MILLIS = 2000;
 
--- a/src/daemon/node_components.ts
+++ b/src/daemon/node_components.ts
@@ -128,8 +128,8 @@
   /** If one upstream of a service rejects requests, all of them report their rejection rate. */
   const rejectionsOf = (service: string): RejectionFields | undefined => {
     const own = rejections.current();
-    const others = loadTable.serviceLoadOf(service);
-    return isRejecting(own) || others?.isRejecting ? own : undefined;
+    const serviceLoad = loadTable.serviceLoadOf(service);
+    return isRejecting(own) || serviceLoad?.isRejecting ? own : undefined;
   };
   return {
     configuration,
--- a/src/daemon/node_exchanges.ts
+++ b/src/daemon/node_exchanges.ts
@@ -89,7 +89,7 @@
   const {settings, wireHeaders, components, nowMillis, random} = options;
   const {upstream, queue, level, parents} = components;
   const sender = createUpstreamSender(settings().upstream, wireHeaders);
-  const started = upstream.onStarted(sender.closeIdleConnections);
+  const startedListener = upstream.onStarted(sender.closeIdleConnections);
   const remote = createRemote(options, {
     onCrashReport: (peer, report) => {
       crashes.gossip.receiveReply(peer, report);
@@ -134,10 +134,10 @@
   const local: LocalExecution = {
     execute: async call => {
       executingCount += 1;
-      const end = await execution.execute(call);
+      const result = await execution.execute(call);
       executingCount -= 1;
       components.reportOwnLoad();
-      return end;
+      return result;
     },
   };
   const open = createOpenRequests(options.log, nowMillis);
@@ -164,8 +164,8 @@
       local,
       remote,
       nowMillis,
-      onAttempt: end => {
-        countAttempt(options, end);
+      onAttempt: result => {
+        countAttempt(options, result);
       },
       onRetry: (request, reason) => {
         options.metrics.recordRetry(reason);
@@ -190,8 +190,8 @@
     ownLoad: components.reportOwnLoad,
     otherLoads: () => otherLoads(components),
     nowMillis,
-    onEnd: (call, end) => {
-      logNotExecuted(options, call, end);
+    onEnd: (call, result) => {
+      logNotExecuted(options, call, result);
     },
   });
   return {
@@ -212,7 +212,7 @@
       return executingCount;
     },
     dispose: () => {
-      started.dispose();
+      startedListener.dispose();
       crashes.dispose();
       quotas.dispose();
       sender.dispose();
@@ -235,8 +235,8 @@
     }),
     documents: createDocumentCache(),
     send: remote.queryChanges,
-    onPolled: (entry, end) => {
-      if (end !== 'failed') return;
+    onPolled: (entry, result) => {
+      if (result !== 'failed') return;
       log.logRequestEvent('relay-failed', {peer: entry.node.address});
     },
   });
@@ -296,11 +296,11 @@
 
 function countAttempt(
   options: NodeExchangesOptions,
-  end: ExecutionResult,
+  result: ExecutionResult,
 ): void {
-  if (end.kind === 'refused') options.metrics.recordRefusal(end.reason);
-  else if (end.kind === 'unknown') {
-    options.metrics.recordUnknownOutcome(end.reason);
+  if (result.kind === 'refused') options.metrics.recordRefusal(result.reason);
+  else if (result.kind === 'unknown') {
+    options.metrics.recordUnknownOutcome(result.reason);
   }
 }
 
@@ -321,15 +321,15 @@
 function logNotExecuted(
   options: NodeExchangesOptions,
   call: LocalCall,
-  end: ExecutionResult,
+  result: ExecutionResult,
 ): void {
-  if (end.kind === 'answered') return;
+  if (result.kind === 'answered') return;
   const {queue, level} = options.components;
   options.log.logRequestEvent('not-executed', {
     requestId: call.attemptId,
     rootId: call.origin.rootId,
-    outcome: end.kind,
-    reason: end.reason,
+    outcome: result.kind,
+    reason: result.reason,
     ...queue.load(),
     admissionLevel: level.level(),
   });
--- a/src/daemon/node_maintenance.ts
+++ b/src/daemon/node_maintenance.ts
@@ -23,7 +23,10 @@
 /** Interval of the status line. */
 const STATUS_INTERVAL_MILLIS = 5000;
 
-/** Interval at which expired records are removed; their shortest lifetime is 2 s. */
+/**
+ * Interval at which expired records are removed. The shortest bound on a removal is 2 s,
+ * for an upstream entry; its grace period is shorter by at least this interval.
+ */
 const EXPIRE_INTERVAL_MILLIS = 500;
 
 /** Starts the periodic tasks of a node. */
--- a/src/daemon/quota_handling.ts
+++ b/src/daemon/quota_handling.ts
@@ -116,15 +116,15 @@
         host.node,
         encodeQuotaReport(report),
       );
-      const end = toReportResult(answer);
-      if (end.kind !== 'answered') {
+      const result = toReportResult(answer);
+      if (result.kind !== 'answered') {
         const {hostKey: coordinatorHost} = host;
         log.logRequestEvent('quota-report-unanswered', {
           coordinatorHost,
-          how: end.kind,
+          how: result.kind,
         });
       }
-      return end;
+      return result;
     },
     waitTimeout: () => sleep(MAX_WAIT_MILLIS),
   });
@@ -155,7 +155,10 @@
   };
 }
 
-/** A node of an earlier version sends a response that cannot be decoded. */
+/**
+ * A response that cannot be decoded, as from a node of an earlier version, counts as
+ * `closed`: its zone is not partitioned.
+ */
 function toReportResult(answer: PeerQueryResult): ReportResult {
   if (typeof answer === 'string') return {kind: answer};
   const allowances = decodeQuotaAllowances(answer);
--- a/test/unit/daemon/restored_source_model.test.ts
+++ b/test/unit/daemon/restored_source_model.test.ts
@@ -122,7 +122,7 @@
   return {
     /** Collected, because an exception in a listener would count as a failed call. */
     violations,
-    note: ({kind, entry}: DirectoryChange): void => {
+    recordChange: ({kind, entry}: DirectoryChange): void => {
       if (kind === 'draining') drained.add(startOf(entry));
       if (kind !== 'left') return;
       departedEntries.set(startOf(entry), entry);
@@ -159,7 +159,7 @@
   const directory = createUpstreamDirectory({
     nowMillis: () => clock.millis,
     heartbeatMillis: WORLD_HEARTBEAT_MILLIS,
-    onChange: checker.note,
+    onChange: checker.recordChange,
   });
   const listeners = createDocumentListeners({
     documents: documentsOf(source),
