--- a/bench/bench_client.ts
+++ b/bench/bench_client.ts
@@ -4,10 +4,10 @@
 import http from 'node:http';
 
 /** Name under which clients address every route. */
-export const BENCH_HOST = 'bench.example';
+export const BENCH_HOST_NAME = 'bench.example';
 
 /** Where clients send their requests. */
-export interface BenchEntry {
+export interface BenchEndpoint {
   readonly address: string;
   readonly outboundPort: number;
 }
@@ -20,8 +20,8 @@
 }
 
 /** Resolves with how many were answered with success. */
-export async function sendMany(
-  entry: BenchEntry,
+export async function sendBatch(
+  entry: BenchEndpoint,
   path: string,
   batch: Batch,
 ): Promise<number> {
@@ -43,7 +43,7 @@
 let sentCount = 0;
 
 function sendOne(
-  entry: BenchEntry,
+  entry: BenchEndpoint,
   path: string,
   agent: http.Agent | false,
 ): Promise<number> {
@@ -55,7 +55,7 @@
       port: entry.outboundPort,
       path,
       headers: {
-        host: BENCH_HOST,
+        host: BENCH_HOST_NAME,
         'attempt-id': `a${sentCount.toString(16).padStart(15, '0')}`,
         'timeout-ms': '5000',
       },
--- a/bench/cost_bench.ts
+++ b/bench/cost_bench.ts
@@ -11,11 +11,11 @@
 import http from 'node:http';
 import {join, resolve} from 'node:path';
 import {setTimeout as sleep} from 'node:timers/promises';
-import type {Batch, BenchEntry} from './bench_client.js';
-import {BENCH_HOST, sendMany} from './bench_client.js';
-import type {StandInBackend} from '../test/fakes/stand_in_backend.js';
-import {startStandInBackend} from '../test/fakes/stand_in_backend.js';
-import {createStandInStore} from '../test/fakes/stand_in_store.js';
+import type {Batch, BenchEndpoint} from './bench_client.js';
+import {BENCH_HOST_NAME, sendBatch} from './bench_client.js';
+import type {FakeUpstream} from '../test/fakes/fake_upstream.js';
+import {startFakeUpstream} from '../test/fakes/fake_upstream.js';
+import {createFakeStore} from '../test/fakes/fake_store.js';
 import {freePorts} from '../test/fakes/free_ports.js';
 import type {
   NodePorts,
@@ -79,8 +79,8 @@
   const bundlePath = resolve(path);
   const directory = mkdtempSync(join(process.cwd(), 'target', 'bench-'));
   const block = `127.${String(process.pid % 200)}.${String(index + 200)}`;
-  const store = createStandInStore();
-  const entrance = await store.openEntrance();
+  const store = createFakeStore();
+  const entrance = await store.openEndpoint();
   const [app = 0, inbound = 0, outbound = 0, ready = 0] = await freePorts(
     '127.0.0.1',
     4,
@@ -93,18 +93,18 @@
     store: entrance.port,
   };
   const nodes: NodeProcess[] = [];
-  const backends: StandInBackend[] = [];
+  const backends: FakeUpstream[] = [];
   store.put('op/config', CONFIGURATION);
   for (const [host, service] of ['clients', 'calls', 'storm'].entries()) {
     const address = `${block}.${String(host + 1)}`;
     const id = `i-${String(host)}`;
-    const backend = await startStandInBackend({id, address, port: app});
+    const backend = await startFakeUpstream({id, address, port: app});
     backends.push(backend);
     const slots = service === 'storm' ? STORM_SLOTS_COUNT : 50;
     if (service === 'storm') {
-      backend.setBehaviour(request => {
+      backend.setHandler(request => {
         setTimeout(() => {
-          request.answer(200, 'late');
+          request.respond(200, 'late');
         }, STORM_HOLD_MILLIS);
       });
     }
@@ -133,7 +133,7 @@
     outboundPort: outbound,
     agent: new http.Agent({keepAlive: true}),
     end: async () => {
-      for (const node of nodes) node.end();
+      for (const node of nodes) node.stop();
       for (const backend of backends) await backend.close();
       store.close();
       rmSync(directory, {recursive: true, force: true});
@@ -160,7 +160,7 @@
   },
   virtualHosts: [
     {
-      host: BENCH_HOST,
+      host: BENCH_HOST_NAME,
       paths: [
         {...ROUTE, name: 'calls', prefix: '/calls/', service: 'calls'},
         {...ROUTE, name: 'storm', prefix: '/storm/', service: 'storm'},
@@ -188,7 +188,7 @@
   const before = fleets.map(costs);
   for (let done = 0; done < count; done += TURN_COUNT) {
     for (const fleet of fleets) {
-      await sendMany(entryOf(fleet), '/calls/1', {
+      await sendBatch(entryOf(fleet), '/calls/1', {
         count: TURN_COUNT,
         concurrentCount: CONCURRENT_COUNT,
         agent: fleet.agent,
@@ -224,14 +224,14 @@
       agent: false,
     };
     while (performance.now() < untilMillis) {
-      await sendMany(entryOf(fleet), '/storm/1', storm);
+      await sendBatch(entryOf(fleet), '/storm/1', storm);
     }
     for (const [label, agent] of [
       ['a new connection', false],
       ['a kept connection', fleet.agent],
     ] as const) {
       const before = fleet.entry.cost();
-      const servedCount = await sendMany(entryOf(fleet), '/storm/1', {
+      const servedCount = await sendBatch(entryOf(fleet), '/storm/1', {
         ...storm,
         agent,
         count: COLD_COUNT,
@@ -244,7 +244,7 @@
   return lines;
 }
 
-function entryOf({entry, outboundPort}: Fleet): BenchEntry {
+function entryOf({entry, outboundPort}: Fleet): BenchEndpoint {
   return {address: entry.address, outboundPort};
 }
 
@@ -263,9 +263,9 @@
 ): ProcessCost {
   const now = node.cost();
   return {
-    processorMillis: now.processorMillis - (before?.processorMillis ?? 0),
-    ownMillis: now.ownMillis - (before?.ownMillis ?? 0),
-    wakesCount: now.wakesCount - (before?.wakesCount ?? 0),
+    cpuMillis: now.cpuMillis - (before?.cpuMillis ?? 0),
+    userCpuMillis: now.userCpuMillis - (before?.userCpuMillis ?? 0),
+    wakeupsCount: now.wakeupsCount - (before?.wakeupsCount ?? 0),
   };
 }
 
@@ -275,9 +275,9 @@
   spent: ProcessCost,
   count: number,
 ): string {
-  const millis = (spent.processorMillis / count).toFixed(3);
-  const own = (spent.ownMillis / count).toFixed(3);
-  const wakes = (spent.wakesCount / count).toFixed(2);
+  const millis = (spent.cpuMillis / count).toFixed(3);
+  const own = (spent.userCpuMillis / count).toFixed(3);
+  const wakes = (spent.wakeupsCount / count).toFixed(2);
   return `${label}: ${millis} ms (own code ${own}), ${wakes} wakes; ${name}`;
 }
 
--- a/bench/latency_bench.ts
+++ b/bench/latency_bench.ts
@@ -5,7 +5,7 @@
 import http from 'node:http';
 import type {FleetHost} from '../test/fakes/platform_fleet.js';
 import {FLEET_HOST_NAME} from '../test/fakes/fleet_client.js';
-import {fleetPath, startPlatformFleet} from '../test/fakes/platform_fleet.js';
+import {createPath, startPlatformFleet} from '../test/fakes/platform_fleet.js';
 
 /** Requests of each way, after as many tenths to warm up. */
 const REQUESTS_COUNT = 3000;
@@ -22,7 +22,7 @@
 export async function measureLatency(): Promise<readonly string[]> {
   const fleet = await startPlatformFleet({
     services: ['atlas', 'orders'],
-    paths: [fleetPath()],
+    paths: [createPath()],
   });
   const [atlas, orders] = fleet.hosts as readonly [FleetHost, FleetHost];
   const ways: readonly Way[] = [
@@ -30,7 +30,7 @@
       name: 'direct',
       address: orders.address,
       port: fleet.appPort,
-      headers: {'expect-instance': orders.backend.id},
+      headers: {'expect-instance': orders.upstream.id},
     },
     {
       name: 'one node',
--- a/bench/quota_bench.ts
+++ b/bench/quota_bench.ts
@@ -2,25 +2,25 @@
  * Ways of keeping a quota over a fleet, replayed with the same loads:
  * `npm run bench -- quotas`.
  */
-import type {QuotaWay} from '../test/fakes/quota_replay.js';
-import {replayQuota} from '../test/fakes/quota_replay.js';
+import type {QuotaStrategy} from '../test/fakes/quota_simulation.js';
+import {simulateQuota} from '../test/fakes/quota_simulation.js';
 import type {ScenarioName} from '../test/fakes/quota_scenarios.js';
 import {
   QUOTA_SCENARIOS,
-  SCENARIO_MILLIS,
+  SCENARIO_DURATION_MILLIS,
 } from '../test/fakes/quota_scenarios.js';
 import {
-  coordinated,
+  coordinatedCounts,
   evenShares,
   exchangedCounts,
   leasedTokens,
-} from '../test/fakes/quota_ways.js';
+} from '../test/fakes/quota_strategies.js';
 
-const WAYS: readonly (readonly [string, QuotaWay])[] = [
+const WAYS: readonly (readonly [string, QuotaStrategy])[] = [
   ['even shares', evenShares],
   ['exchanged counts', exchangedCounts],
   ['leased tokens', leasedTokens],
-  ['coordinated counts', coordinated],
+  ['coordinated counts', coordinatedCounts],
 ];
 
 const NAMES: readonly ScenarioName[] = [
@@ -52,15 +52,15 @@
 
 async function measure(
   title: string,
-  way: QuotaWay,
+  way: QuotaStrategy,
   name: ScenarioName,
   ratePerSecond: number,
 ): Promise<string> {
-  const outcome = await replayQuota(way, {
+  const outcome = await simulateQuota(way, {
     nodesCount: NODES_COUNT,
     ratePerSecond,
     seed: 1,
-    lastsMillis: SCENARIO_MILLIS,
+    durationMillis: SCENARIO_DURATION_MILLIS,
     ...QUOTA_SCENARIOS[name],
   });
   const cells = [
--- a/test/contract/platform_answers.test.ts
+++ b/test/contract/platform_answers.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import {ORDER_PATH, orderRequest, SAFE_PATH} from '../fakes/platform_fleet.js';
-import {signatureOf} from '../fakes/stand_in_backend.js';
+import {signatureOf} from '../fakes/fake_upstream.js';
 import {startFleet} from '../fakes/test_fleet.js';
 
 test('a request with a lost response is retried if repeatable, otherwise fails', async t => {
@@ -15,12 +15,12 @@
   const runs = (id: string): number =>
     [first, second].reduce(
       (sum, host) =>
-        sum + host!.backend.runIds.filter(run => run === id).length,
+        sum + host!.upstream.runIds.filter(run => run === id).length,
       0,
     );
   for (const host of [first!, second!]) {
-    host.backend.setBehaviour(request => {
-      if (runs(request.attemptId) > 1) request.answer(200, 'second');
+    host.upstream.setHandler(request => {
+      if (runs(request.attemptId) > 1) request.respond(200, 'second');
       else request.socket.resetAndDestroy();
     });
   }
@@ -38,13 +38,13 @@
     paths: [ORDER_PATH],
   });
   const [first, second, atlas] = fleet.hosts;
-  await first!.backend.close();
+  await first!.upstream.close();
   for (let index = 0; index < 12; index += 1) {
     const answer = await fleet.send(atlas!, orderRequest(`c${String(index)}`));
     t.is(answer.statusCode, 200);
   }
-  t.is(new Set(second!.backend.runIds).size, 12);
-  t.is(second!.backend.runIds.length, 12);
+  t.is(new Set(second!.upstream.runIds).size, 12);
+  t.is(second!.upstream.runIds.length, 12);
 });
 
 test('a duplicate response of an upstream never reaches a client', async t => {
@@ -56,9 +56,9 @@
     paths: [SAFE_PATH],
   });
   const [atlas, orders] = fleet.hosts;
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     const {attemptId, socket} = request;
-    request.answer(200, attemptId);
+    request.respond(200, attemptId);
     const copy =
       'HTTP/1.1 200 OK\r\n' +
       `attempt-id: ${attemptId}\r\n` +
@@ -115,13 +115,13 @@
       paths: [ORDER_PATH],
     });
     const [atlas, orders] = fleet.hosts;
-    orders!.backend.setBehaviour(({attemptId, socket}) => {
+    orders!.upstream.setHandler(({attemptId, socket}) => {
       socket.end(bytes(attemptId));
     });
     const answer = await fleet.send(atlas!, orderRequest('c1'));
     t.is(answer.statusCode, 502);
     t.is(answer.headers['response-signature'], undefined);
-    t.deepEqual(orders!.backend.runIds, ['c1']);
+    t.deepEqual(orders!.upstream.runIds, ['c1']);
   });
 }
 
@@ -131,8 +131,8 @@
     paths: [ORDER_PATH],
   });
   const [host] = fleet.hosts;
-  host!.backend.setBehaviour(request => {
-    request.answer(500, 'failed');
+  host!.upstream.setHandler(request => {
+    request.respond(500, 'failed');
   });
   const answer = await fleet.send(host!, orderRequest('c1'));
   t.is(answer.statusCode, 500);
@@ -146,13 +146,13 @@
     paths: [ORDER_PATH],
   });
   const [first, second] = fleet.hosts;
-  first!.backend.setBehaviour(({response}) => {
+  first!.upstream.setHandler(({response}) => {
     response.writeHead(503, {'not-executed': '1'});
     response.end();
   });
   const answer = await fleet.send(first!, orderRequest('c1'));
   t.is(answer.statusCode, 200);
-  t.deepEqual(second!.backend.runIds, ['c1']);
+  t.deepEqual(second!.upstream.runIds, ['c1']);
 });
 
 for (const [title, services] of [
@@ -165,7 +165,7 @@
     // added the length of what it had received.
     const fleet = await startFleet(t, {services, paths: [SAFE_PATH]});
     const orders = fleet.hosts.at(-1)!;
-    orders.backend.setBehaviour(({attemptId, socket}) => {
+    orders.upstream.setHandler(({attemptId, socket}) => {
       socket.end(
         `HTTP/1.1 200 OK\r\nattempt-id: ${attemptId}\r\nresponse-signature: s\r\n\r\nhalf`,
       );
--- a/test/contract/platform_api_keys.test.ts
+++ b/test/contract/platform_api_keys.test.ts
@@ -8,7 +8,7 @@
   PlatformFleet,
 } from '../fakes/platform_fleet.js';
 import {
-  fleetPath,
+  createPath,
   isReady,
   ORDER_PATH,
   SAFE_PATH,
@@ -24,7 +24,7 @@
 const ACME = {name: 'acme', apiKeys: [ACME_KEY, ACME_SECOND_KEY], priority: 1};
 const GLOBEX = {name: 'globex', apiKeys: [GLOBEX_KEY], priority: 0};
 
-const PUBLIC_PATH = fleetPath({name: 'r-3', prefix: '/open/', public: true});
+const PUBLIC_PATH = createPath({name: 'r-3', prefix: '/open/', public: true});
 
 const PATHS = [SAFE_PATH, ORDER_PATH, PUBLIC_PATH];
 
@@ -52,9 +52,9 @@
   });
   const [atlas, orders] = fleet.hosts;
   const seen: SeenRequest[] = [];
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     seen.push({id: request.attemptId, headers: request.headers});
-    request.answer(200, 'served');
+    request.respond(200, 'served');
   });
   return {fleet, atlas: atlas!, seen};
 }
@@ -115,7 +115,7 @@
   ];
   const client = await connectRawClient(t, atlas.address, fleet.outboundPort);
   for (const [index, lines] of unusable.entries()) {
-    client.ask(`c${String(index)}`, '/a/1', lines);
+    client.sendRequest(`c${String(index)}`, '/a/1', lines);
     await waitUntil(
       'answered',
       () => client.statusCodes.length === index + 1 || client.isClosed,
@@ -129,7 +129,7 @@
     ...client.received.matchAll(/www-authenticate: Bearer/gi),
   ];
   t.is(challenges.length, unusable.length);
-  client.ask('good', '/a/1', [`Authorization: bEaReR ${ACME_KEY}`]);
+  client.sendRequest('good', '/a/1', [`Authorization: bEaReR ${ACME_KEY}`]);
   await waitUntil('served', () => client.received.includes('served'));
   t.deepEqual(
     seen.map(({id}) => id),
@@ -141,8 +141,11 @@
   const {fleet, atlas, seen} = await startFleetWithKeys(t);
   const client = await connectRawClient(t, atlas.address, fleet.outboundPort);
   const forged = ['Tenant: globex', 'tenant: globex', 'TENANT: globex'];
-  client.ask('c1', '/a/1', [...forged, `authorization: Bearer ${ACME_KEY}`]);
-  client.ask('c2', '/open/1', forged);
+  client.sendRequest('c1', '/a/1', [
+    ...forged,
+    `authorization: Bearer ${ACME_KEY}`,
+  ]);
+  client.sendRequest('c2', '/open/1', forged);
   await waitUntil('both', () => client.statusCodes.length === 2);
   const byId = new Map(seen.map(({id, headers}) => [id, headers['tenant']]));
   t.is(byId.get('c1'), 'acme');
@@ -154,20 +157,20 @@
     services: ['atlas', 'orders', 'tiles'],
     paths: [
       ...PATHS,
-      fleetPath({name: 'r-4', prefix: '/t/', service: 'tiles'}),
+      createPath({name: 'r-4', prefix: '/t/', service: 'tiles'}),
     ],
     tenants: [ACME],
   });
   const [atlas, orders, tiles] = fleet.hosts;
   const tenants: unknown[] = [];
-  tiles!.backend.setBehaviour(request => {
+  tiles!.upstream.setHandler(request => {
     tenants.push(request.headers['tenant']);
-    request.answer(200, '');
+    request.respond(200, '');
   });
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     const call = read(`${request.attemptId}.1`, '/t/1');
     void fleet.send(orders!, call).then(answer => {
-      request.answer(answer.statusCode, '');
+      request.respond(answer.statusCode, '');
     });
   });
   const answer = await fleet.send(atlas!, withKey(read('c1'), ACME_KEY));
--- a/test/contract/platform_connection_ends.test.ts
+++ b/test/contract/platform_connection_ends.test.ts
@@ -4,7 +4,7 @@
 import {FLEET_HOST_NAME} from '../fakes/fleet_client.js';
 import {SAFE_PATH} from '../fakes/platform_fleet.js';
 import {connectRawClient} from '../fakes/raw_client.js';
-import {signatureOf} from '../fakes/stand_in_backend.js';
+import {signatureOf} from '../fakes/fake_upstream.js';
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
@@ -17,13 +17,13 @@
     paths: [SAFE_PATH],
   });
   const [shop, orders] = fleet.hosts;
-  orders!.backend.setBehaviour(request => {
-    request.answer(request.attemptId === 'first' ? 204 : 200, '');
+  orders!.upstream.setHandler(request => {
+    request.respond(request.attemptId === 'first' ? 204 : 200, '');
   });
   const client = await connectRawClient(t, shop!.address, fleet.outboundPort);
-  client.ask('first', '/a/1');
+  client.sendRequest('first', '/a/1');
   await waitUntil('first response', () => client.statusCodes.length === 1);
-  client.ask('second', '/a/2');
+  client.sendRequest('second', '/a/2');
   await waitUntil('second response', () => client.statusCodes.length === 2);
   t.deepEqual(client.statusCodes, [204, 200]);
 });
@@ -37,8 +37,8 @@
     paths: [SAFE_PATH],
   });
   const [shop, orders] = fleet.hosts;
-  orders!.backend.setBehaviour(({attemptId, socket}) => {
-    const signature = signatureOf(orders!.backend.id, attemptId);
+  orders!.upstream.setHandler(({attemptId, socket}) => {
+    const signature = signatureOf(orders!.upstream.id, attemptId);
     socket.write(
       `HTTP/1.1 200 OK\r\nattempt-id: ${attemptId}\r\n` +
         `response-signature: ${signature}\r\nconnection: close\r\n\r\n`,
--- a/test/contract/platform_crashing_processes.test.ts
+++ b/test/contract/platform_crashing_processes.test.ts
@@ -3,11 +3,11 @@
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import test from 'ava';
-import type {ClientAnswer} from '../fakes/fleet_client.js';
+import type {ClientResponse} from '../fakes/fleet_client.js';
 import {
   startProcessFleet,
-  untilAllListed,
-  untilInForce,
+  waitForAllUpstreams,
+  waitForVersion,
 } from '../fakes/process_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
@@ -24,13 +24,13 @@
   // lost.
   const fleet = await startProcessFleet(t, SERVICES);
   const {hosts, publish, restart, send} = fleet;
-  await untilInForce(hosts, 1);
-  await untilAllListed(hosts);
+  await waitForVersion(hosts, 1);
+  await waitForAllUpstreams(hosts);
   let runsCount = 0;
   let startsCount = 0;
-  for (const [index, {backend}] of hosts.entries()) {
-    backend.crashOn({
-      isCulprit: ({target}) => {
+  for (const [index, {upstream}] of hosts.entries()) {
+    upstream.crashOn({
+      isMatch: ({target}) => {
         if (target !== CULPRIT_PATH) return false;
         runsCount += 1;
         return true;
@@ -40,12 +40,12 @@
       onStarted: () => {
         startsCount += 1;
         const bornMillis = 1_790_000_000_000 + startsCount;
-        publish(index, {id: backend.id, bornMillis, seq: 1});
+        publish(index, {id: upstream.id, bornMillis, seq: 1});
       },
     });
   }
   let sentCount = 0;
-  const sendCulprit = (): Promise<ClientAnswer> => {
+  const sendCulprit = (): Promise<ClientResponse> => {
     sentCount += 1;
     return send(sentCount % hosts.length, {
       attemptId: `culprit${String(sentCount)}`,
@@ -53,7 +53,7 @@
     });
   };
   const crashesCount = (): number =>
-    hosts.reduce((sum, {backend}) => sum + backend.crashesCount, 0);
+    hosts.reduce((sum, {upstream}) => sum + upstream.crashesCount, 0);
   for (let index = 0; index < 400; index += 1) {
     if (crashesCount() >= CRASHES_COUNT) break;
     await sendCulprit();
@@ -68,7 +68,7 @@
   await waitUntil('upstreams restarted', () => startsCount === CRASHES_COUNT);
 
   for (const index of [0, 1, 2, 3]) restart(index);
-  await untilInForce(hosts, 1);
+  await waitForVersion(hosts, 1);
   await sleep(LEARN_MILLIS);
   const runsBefore = runsCount;
   for (let round = 0; round < 2 * hosts.length; round += 1) {
--- a/test/contract/platform_crashing_requests.test.ts
+++ b/test/contract/platform_crashing_requests.test.ts
@@ -1,10 +1,10 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {ExecutionContext} from 'ava';
 import test from 'ava';
-import type {ClientAnswer} from '../fakes/fleet_client.js';
+import type {ClientResponse} from '../fakes/fleet_client.js';
 import {SAFE_PATH, ORDER_PATH} from '../fakes/platform_fleet.js';
 import type {FleetHost, PlatformFleet} from '../fakes/platform_fleet.js';
-import type {ReceivedRequest} from '../fakes/stand_in_backend.js';
+import type {ReceivedRequest} from '../fakes/fake_upstream.js';
 import {startFleet} from '../fakes/test_fleet.js';
 
 const CULPRIT_PATH = '/a/culprit?page=1';
@@ -25,7 +25,7 @@
   crashesCount(): number;
   /** Number of times that the culprit was dispatched to an upstream. */
   culpritRunsCount(): number;
-  sendCulprit(): Promise<ClientAnswer>;
+  sendCulprit(): Promise<ClientResponse>;
 }
 
 /** The request that crashes upstreams. */
@@ -61,13 +61,13 @@
   let runsCount = 0;
   let sentCount = 0;
   for (const host of orders) {
-    host.backend.setBehaviour(request => {
+    host.upstream.setHandler(request => {
       setTimeout(() => {
-        request.answer(200, 'served');
+        request.respond(200, 'served');
       }, WORK_MILLIS);
     });
-    host.backend.crashOn({
-      isCulprit: request => {
+    host.upstream.crashOn({
+      isMatch: request => {
         if (!isSame(culprit, request)) return false;
         runsCount += 1;
         return true;
@@ -83,7 +83,7 @@
     fleet,
     callers,
     crashesCount: () =>
-      orders.reduce((sum, {backend}) => sum + backend.crashesCount, 0),
+      orders.reduce((sum, {upstream}) => sum + upstream.crashesCount, 0),
     culpritRunsCount: () => runsCount,
     sendCulprit: () => {
       const caller = callers[sentCount % callers.length];
@@ -114,7 +114,7 @@
   await crashThree(crashing);
   t.true(crashing.crashesCount() >= CRASHES_COUNT);
   const runsBefore = crashing.culpritRunsCount();
-  const answers: ClientAnswer[] = [];
+  const answers: ClientResponse[] = [];
   for (let index = 0; index < 18; index += 1) {
     answers.push(await crashing.sendCulprit());
     await sleep(50);
@@ -134,7 +134,7 @@
   const crashing = await startCrashingFleet(t);
   const {fleet, callers} = crashing;
   const bystanders = Array.from({length: 30}, (_, index) => index);
-  const sendAll = (round: number): Promise<ClientAnswer[]> =>
+  const sendAll = (round: number): Promise<ClientResponse[]> =>
     Promise.all(
       bystanders.map(index =>
         fleet.send(callers[index % 2]!, {
--- a/test/contract/platform_lost_history.test.ts
+++ b/test/contract/platform_lost_history.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type {FleetHost} from '../fakes/platform_fleet.js';
-import {fleetPath, SAFE_PATH} from '../fakes/platform_fleet.js';
+import {createPath, SAFE_PATH} from '../fakes/platform_fleet.js';
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
@@ -40,9 +40,9 @@
   const [, orders] = hosts;
   fleet.publish(orders!, {seq: 2});
   await waitUntil('changes received', () => hosts.every(hasReceivedChanges));
-  fleet.configure([SAFE_PATH, fleetPath({name: 'r-3', prefix: '/new/'})]);
+  fleet.configure([SAFE_PATH, createPath({name: 'r-3', prefix: '/new/'})]);
   store.compact();
-  store.holdLost(1);
+  store.delayHistoryLost(1);
   const sent: Promise<unknown>[] = [];
   const timer = setInterval(() => {
     for (const host of hosts) {
@@ -56,5 +56,5 @@
   clearInterval(timer);
   await Promise.all(sent);
   // The batching pause has used up the rest of the bound.
-  t.true(store.longestHeldMillis <= 600, String(store.longestHeldMillis));
+  t.true(store.longestDelayMillis <= 600, String(store.longestDelayMillis));
 });
--- a/test/contract/platform_malformed_entries.test.ts
+++ b/test/contract/platform_malformed_entries.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type {FleetHost, PlatformFleet} from '../fakes/platform_fleet.js';
 import {SAFE_PATH} from '../fakes/platform_fleet.js';
-import {base64Of} from '../fakes/stand_in_store.js';
+import {encodeBase64} from '../fakes/fake_store.js';
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
@@ -36,33 +36,49 @@
   [
     'an unnamed state',
     'state',
-    at => base64Of(entryText(at, {}, {state: 'paused'})),
+    at => encodeBase64(entryText(at, {}, {state: 'paused'})),
+  ],
+  [
+    'no state',
+    'state',
+    at => encodeBase64(entryText(at, {}, {state: undefined})),
   ],
-  ['no state', 'state', at => base64Of(entryText(at, {}, {state: undefined}))],
   [
     'no slots',
     'slots',
-    at => base64Of(entryText(at, {info: {slots: undefined}})),
+    at => encodeBase64(entryText(at, {info: {slots: undefined}})),
+  ],
+  [
+    'slots of none',
+    'slots',
+    at => encodeBase64(entryText(at, {info: {slots: 0}})),
   ],
-  ['slots of none', 'slots', at => base64Of(entryText(at, {info: {slots: 0}}))],
   [
     'slots as text',
     'slots',
-    at => base64Of(entryText(at, {info: {slots: '20'}})),
+    at => encodeBase64(entryText(at, {info: {slots: '20'}})),
   ],
   [
     'an unnamed zone',
     'zone',
-    at => base64Of(entryText(at, {info: {zone: 'z'}})),
+    at => encodeBase64(entryText(at, {info: {zone: 'z'}})),
+  ],
+  [
+    'no port',
+    'address',
+    at => encodeBase64(entryText(at.replace(/:.*/, ''), {})),
   ],
-  ['no port', 'address', at => base64Of(entryText(at.replace(/:.*/, ''), {}))],
   [
     'a start time as text',
     'born',
-    at => base64Of(entryText(at, {born: '1790000000000'})),
+    at => encodeBase64(entryText(at, {born: '1790000000000'})),
+  ],
+  ['a list', 'entry', () => encodeBase64('[1]')],
+  [
+    'half an entry',
+    'entry',
+    at => encodeBase64(entryText(at, {}).slice(0, 40)),
   ],
-  ['a list', 'entry', () => base64Of('[1]')],
-  ['half an entry', 'entry', at => base64Of(entryText(at, {}).slice(0, 40))],
   ['no base64', 'entry', () => '!!not base64!!'],
   [
     'no text',
@@ -121,9 +137,12 @@
     fleet.store.putRaw(key, valueOf(address));
     await waitUntil(title, () => hasLoggedInvalid(shop!, key, field));
     t.deepEqual(await statusesOf(fleet, shop!, 5), SERVED, title);
-    t.is(spare!.backend.runIds.length, 0, title);
+    t.is(spare!.upstream.runIds.length, 0, title);
   }
-  t.is(orders!.backend.runIds.length, MALFORMED_ENTRIES.length * SERVED.length);
+  t.is(
+    orders!.upstream.runIds.length,
+    MALFORMED_ENTRIES.length * SERVED.length,
+  );
   const metrics = await shop!.metrics.text();
   const count = String(MALFORMED_ENTRIES.length);
   t.true(metrics.includes(`invalid_documents_total{kind="upstream"} ${count}`));
@@ -134,7 +153,7 @@
   // service; a dropped entry would not be written again.
   const fleet = await startFleet(t, {
     services: ['shop', 'later'],
-    namedServices: ['shop'],
+    declaredServices: ['shop'],
     paths: [SAFE_PATH],
   });
   const [shop, later] = fleet.hosts;
@@ -142,7 +161,7 @@
     shop!.events.some(
       ({event, fields}) =>
         event === 'upstream-unnamed' &&
-        fields['upstream'] === later!.backend.id,
+        fields['upstream'] === later!.upstream.id,
     ),
   );
   t.deepEqual(await statusesOf(fleet, shop!, 5), REJECTED);
@@ -165,8 +184,8 @@
     paths: [SAFE_PATH],
   });
   const [shop, orders] = fleet.hosts;
-  const key = `servers/${orders!.backend.id}`;
-  fleet.store.putRaw(key, base64Of('{"state":'));
+  const key = `servers/${orders!.upstream.id}`;
+  fleet.store.putRaw(key, encodeBase64('{"state":'));
   await waitUntil('logged', () => hasLoggedInvalid(shop!, key, 'entry'));
   t.deepEqual(await statusesOf(fleet, shop!, 5), SERVED);
   // A removal comes from the platform and takes effect immediately.
@@ -174,7 +193,7 @@
   await waitUntil('left', () =>
     shop!.events.some(
       ({event, fields}) =>
-        event === 'upstream-left' && fields['upstream'] === orders!.backend.id,
+        event === 'upstream-left' && fields['upstream'] === orders!.upstream.id,
     ),
   );
   t.deepEqual(await statusesOf(fleet, shop!, 5), REJECTED);
--- a/test/contract/platform_path.test.ts
+++ b/test/contract/platform_path.test.ts
@@ -5,13 +5,13 @@
 import test from 'ava';
 import {FLEET_HOST_NAME} from '../fakes/fleet_client.js';
 import {
-  fleetPath,
+  createPath,
   isReady,
   ORDER_PATH,
   orderRequest,
   SAFE_PATH,
 } from '../fakes/platform_fleet.js';
-import {signatureOf} from '../fakes/stand_in_backend.js';
+import {signatureOf} from '../fakes/fake_upstream.js';
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
@@ -23,10 +23,10 @@
   const [atlas, orders] = fleet.hosts;
   let seen: http.IncomingHttpHeaders = {};
   let seenBody = '';
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     seen = request.headers;
     seenBody = `${request.method} ${request.target} ${request.body}`;
-    request.answer(201, 'made');
+    request.respond(201, 'made');
   });
   const answer = await fleet.send(atlas!, {
     attemptId: 'c1',
@@ -71,9 +71,9 @@
   });
   const [atlas, orders] = fleet.hosts;
   let seenBody = '';
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     seenBody = request.body;
-    request.answer(200, '');
+    request.respond(200, '');
   });
   const answer = await fleet.send(atlas!, {
     attemptId: 'c1',
@@ -116,8 +116,8 @@
   for (let index = 0; index < 10; index += 1) {
     await fleet.send(atlas!, {attemptId: `a${String(index)}`, path: '/a/1'});
   }
-  t.is(first!.backend.runIds.length, 0);
-  t.is(second!.backend.runIds.length, 10);
+  t.is(first!.upstream.runIds.length, 0);
+  t.is(second!.upstream.runIds.length, 10);
   fleet.withdraw(second!);
   await waitUntil('left', () =>
     atlas!.events.some(({event}) => event === 'upstream-left'),
@@ -131,10 +131,10 @@
   // close of the response was treated as its end, so only the deadline cancelled them.
   const fleet = await startFleet(t, {
     services: ['atlas', 'orders'],
-    paths: [fleetPath({timeoutS: 120})],
+    paths: [createPath({timeoutS: 120})],
   });
   const [atlas, orders] = fleet.hosts;
-  orders!.backend.setBehaviour(() => undefined);
+  orders!.upstream.setHandler(() => undefined);
   const request = http.get({
     host: atlas!.address,
     port: fleet.outboundPort,
@@ -146,22 +146,22 @@
     },
   });
   request.on('error', () => undefined);
-  await waitUntil('in progress', () => orders!.backend.runIds.length === 1);
+  await waitUntil('in progress', () => orders!.upstream.runIds.length === 1);
   request.destroy();
-  await waitUntil('aborted', () => orders!.backend.cutCount === 1);
+  await waitUntil('aborted', () => orders!.upstream.abortedCount === 1);
   t.pass();
 });
 
 test('a request gets 504 at the timeout of its route and is cancelled', async t => {
   const fleet = await startFleet(t, {
     services: ['atlas', 'orders'],
-    paths: [fleetPath({timeoutS: 0.3}), ORDER_PATH],
+    paths: [createPath({timeoutS: 0.3}), ORDER_PATH],
   });
   const [atlas, orders] = fleet.hosts;
-  orders!.backend.setBehaviour(() => undefined);
+  orders!.upstream.setHandler(() => undefined);
   const answer = await fleet.send(atlas!, {attemptId: 'c1', path: '/a/1'});
   t.is(answer.statusCode, 504);
-  await waitUntil('aborted', () => orders!.backend.cutCount === 1);
+  await waitUntil('aborted', () => orders!.upstream.abortedCount === 1);
 });
 
 test('pipelined requests are answered in order', async t => {
@@ -170,10 +170,10 @@
     paths: [SAFE_PATH],
   });
   const [atlas, orders] = fleet.hosts;
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     const delayMillis = request.attemptId === 'c0' ? 80 : 1;
     setTimeout(() => {
-      request.answer(200, `[${request.attemptId}]`);
+      request.respond(200, `[${request.attemptId}]`);
     }, delayMillis);
   });
   const socket = net.connect(fleet.outboundPort, atlas!.address);
@@ -204,9 +204,9 @@
     slots: 3,
   });
   const [orders, atlas] = fleet.hosts;
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     setTimeout(() => {
-      request.answer(200, '');
+      request.respond(200, '');
     }, 20);
   });
   const answers = await Promise.all(
@@ -217,7 +217,7 @@
       }),
     ),
   );
-  t.is(orders!.backend.maxAtOnce, 3);
+  t.is(orders!.upstream.maxConcurrentCount, 3);
   for (const {statusCode, headers} of answers) {
     if (statusCode === 503) t.true(Number(headers['retry-after']) > 0);
     else t.is(statusCode, 200);
@@ -227,13 +227,13 @@
 test('a refused order is not executed', async t => {
   const fleet = await startFleet(t, {
     services: ['orders', 'atlas'],
-    paths: [fleetPath({prefix: '/order/', kind: 'unsafe', sloS: 0.2})],
+    paths: [createPath({prefix: '/order/', kind: 'unsafe', sloS: 0.2})],
     slots: 1,
   });
   const [orders, atlas] = fleet.hosts;
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     setTimeout(() => {
-      request.answer(200, '');
+      request.respond(200, '');
     }, 60);
   });
   const ids = Array.from({length: 20}, (_, index) => `c${String(index)}`);
@@ -249,7 +249,7 @@
   );
   const refused = ids.filter((_, index) => answers[index]?.statusCode === 503);
   t.true(refused.length > 0);
-  const runs = orders!.backend.runIds;
+  const runs = orders!.upstream.runIds;
   t.deepEqual(
     refused.filter(id => runs.includes(id)),
     [],
@@ -269,9 +269,9 @@
     t.is(answer.statusCode, 200);
     t.true(isReady(atlas!));
   }
-  fleet.configure([fleetPath({prefix: '/new/'})]);
+  fleet.configure([createPath({prefix: '/new/'})]);
   fleet.store.compact();
-  fleet.store.setMode('well');
+  fleet.store.setMode('healthy');
   const isAccepted = (): boolean =>
     atlas!.events.filter(({event}) => event === 'configuration-accepted')
       .length === 2;
@@ -295,5 +295,5 @@
   socket.destroy();
   const after = await fleet.send(host!, orderRequest('c2'));
   t.is(after.statusCode, 200);
-  t.deepEqual(host!.backend.runIds, ['c2']);
+  t.deepEqual(host!.upstream.runIds, ['c2']);
 });
--- a/test/contract/platform_quotas.test.ts
+++ b/test/contract/platform_quotas.test.ts
@@ -1,8 +1,8 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import test from 'ava';
-import type {ClientAnswer} from '../fakes/fleet_client.js';
+import type {ClientResponse} from '../fakes/fleet_client.js';
 import type {PlatformFleet} from '../fakes/platform_fleet.js';
-import {fleetPath, ORDER_PATH, SAFE_PATH} from '../fakes/platform_fleet.js';
+import {createPath, ORDER_PATH, SAFE_PATH} from '../fakes/platform_fleet.js';
 import {startFleet} from '../fakes/test_fleet.js';
 
 const KEY = 'k4x7acmefirst';
@@ -27,7 +27,7 @@
 
 interface Sent {
   readonly id: string;
-  readonly answer: ClientAnswer;
+  readonly answer: ClientResponse;
 }
 
 /** Sends requests to all nodes in turn, ten every 25 milliseconds. */
@@ -53,7 +53,7 @@
 }
 
 function runIdsOf(fleet: PlatformFleet): readonly string[] {
-  return fleet.hosts.flatMap(host => host.backend.runIds);
+  return fleet.hosts.flatMap(host => host.upstream.runIds);
 }
 
 test('all nodes together reject requests of an organisation over its quota', async t => {
@@ -85,7 +85,7 @@
 test('at its quota the urgent requests of an organisation go first', async t => {
   const fleet = await startFleet(t, {
     services: SERVICES,
-    paths: [fleetPath({priority: 2}), ORDER_PATH],
+    paths: [createPath({priority: 2}), ORDER_PATH],
     tenants: [{...LIMITED, ratePerS: 100}],
   });
   // Reads and orders are served alike until the excess over the quota is
--- a/test/contract/platform_restart.test.ts
+++ b/test/contract/platform_restart.test.ts
@@ -28,8 +28,8 @@
   // A start time received during a request would count as a restart during it.
   await waitUntil('start times known', () =>
     fleet.hosts.every(host =>
-      fleet.hosts.every(({backend}) =>
-        hasLogged(host, 'upstream-restarted', backend.id),
+      fleet.hosts.every(({upstream}) =>
+        hasLogged(host, 'upstream-restarted', upstream.id),
       ),
     ),
   );
@@ -48,13 +48,13 @@
 function countJoins(host: FleetHost, of: FleetHost): number {
   return host.events.filter(
     ({event, fields}) =>
-      event === 'upstream-joined' && fields['upstream'] === of.backend.id,
+      event === 'upstream-joined' && fields['upstream'] === of.upstream.id,
   ).length;
 }
 
 function countRuns(hosts: readonly FleetHost[], attemptId: string): number {
   return hosts
-    .flatMap(({backend}) => backend.runIds)
+    .flatMap(({upstream}) => upstream.runIds)
     .filter(id => id === attemptId).length;
 }
 
@@ -68,8 +68,8 @@
     const upstreams = [first, second];
     const held: FleetHost[] = [];
     for (const host of upstreams) {
-      host.backend.setBehaviour(request => {
-        if (held.length > 0) request.answer(200, 'again');
+      host.upstream.setHandler(request => {
+        if (held.length > 0) request.respond(200, 'again');
         else held.push(host);
       });
     }
@@ -77,7 +77,7 @@
     const answer = fleet.send(from, orderRequest('o1'));
     await waitUntil('order in flight', () => held.length === 1);
     const [holder] = held;
-    await holder!.backend.restart();
+    await holder!.upstream.restart();
     fleet.publish(holder!, {born: SECOND_START_MILLIS, coldLeftS: 3});
     const {statusCode, headers} = await answer;
     t.is(statusCode, 502);
@@ -93,13 +93,13 @@
   const {fleet, shop, first, second} = await startRestartFleet(t);
   fleet.publish(first, {born: SECOND_START_MILLIS, seq: 2, state: 'draining'});
   await waitUntil('known to drain', () =>
-    hasLogged(shop, 'upstream-draining', first.backend.id),
+    hasLogged(shop, 'upstream-draining', first.upstream.id),
   );
   fleet.publish(first, {born: FIRST_START_MILLIS, seq: 41});
   // This later write shows when the late entry has been read.
   fleet.publish(second, {born: SECOND_START_MILLIS, state: 'draining'});
   await waitUntil('read', () =>
-    hasLogged(shop, 'upstream-draining', second.backend.id),
+    hasLogged(shop, 'upstream-draining', second.upstream.id),
   );
   const answer = await fleet.send(shop, {attemptId: 'r1', path: '/a/1'});
   t.is(answer.statusCode, 503);
@@ -115,8 +115,8 @@
   fleet.publish(first, {born: SECOND_START_MILLIS, seq: 2, state: 'draining'});
   fleet.publish(second, {born: FIRST_START_MILLIS, seq: 41, state: 'draining'});
   await waitUntil('both known to drain', () =>
-    [first, second].every(({backend}) =>
-      hasLogged(shop, 'upstream-draining', backend.id),
+    [first, second].every(({upstream}) =>
+      hasLogged(shop, 'upstream-draining', upstream.id),
     ),
   );
   const answer = await fleet.send(shop, {attemptId: 'r1', path: '/a/1'});
@@ -127,10 +127,10 @@
 test('a restarted upstream gets requests, and the restart is logged', async t => {
   const {fleet, shop, first, second} = await startRestartFleet(t);
   fleet.publish(second, {born: FIRST_START_MILLIS, seq: 41, state: 'draining'});
-  await first.backend.restart();
+  await first.upstream.restart();
   fleet.publish(first, {born: SECOND_START_MILLIS, coldLeftS: 3});
   await waitUntil('known to have restarted', () =>
-    hasLogged(shop, 'upstream-restarted', first.backend.id),
+    hasLogged(shop, 'upstream-restarted', first.upstream.id),
   );
   const answer = await fleet.send(shop, {attemptId: 'r1', path: '/a/1'});
   t.is(answer.statusCode, 200);
@@ -145,16 +145,16 @@
   const {fleet, shop, first, second} = await startRestartFleet(t);
   const closed = new Set<FleetHost>();
   for (const host of [first, second]) {
-    host.backend.setBehaviour(request => {
+    host.upstream.setHandler(request => {
       request.socket.once('close', () => closed.add(host));
-      request.answer(200, 'done');
+      request.respond(200, 'done');
     });
   }
   const orders = Array.from({length: 8}, (_, index) =>
     fleet.send(shop, orderRequest(`o${String(index)}`)),
   );
   await Promise.all(orders);
-  t.true(first.backend.runIds.length > 0);
+  t.true(first.upstream.runIds.length > 0);
   // An entry that expires and is published again belongs to the same start.
   fleet.withdraw(first);
   fleet.publish(first, {born: FIRST_START_MILLIS, seq: 41});
--- a/test/contract/platform_restart_retries.test.ts
+++ b/test/contract/platform_restart_retries.test.ts
@@ -21,16 +21,16 @@
     slackCount: SLACK_COUNT,
   });
   const [shop, ...orders] = fleet.hosts;
-  for (const {backend} of orders) {
-    await backend.restart(`${backend.id}-later`);
-    backend.setDenialMillis(denialMillis);
+  for (const {upstream} of orders) {
+    await upstream.restart(`${upstream.id}-later`);
+    upstream.setMisdirectedDelayMillis(denialMillis);
   }
   const answers = await Promise.all(
     Array.from({length: REQUESTS_COUNT}, (_, index) =>
       fleet.send(shop!, {attemptId: `r${String(index)}`, path: '/a/1'}),
     ),
   );
-  const arrivedIds = orders.flatMap(({backend}) => backend.arrivedIds);
+  const arrivedIds = orders.flatMap(({upstream}) => upstream.arrivedIds);
   return {
     retriedCount: arrivedIds.length - new Set(arrivedIds).size,
     servedCount: answers.filter(({statusCode}) => statusCode === 200).length,
--- a/test/contract/platform_restored_processes.test.ts
+++ b/test/contract/platform_restored_processes.test.ts
@@ -4,9 +4,9 @@
 import test from 'ava';
 import {
   startProcessFleet,
-  untilAllListed,
-  untilInForce,
-  versionsOf,
+  waitForAllUpstreams,
+  waitForVersion,
+  activeVersions,
 } from '../fakes/process_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
@@ -19,18 +19,18 @@
   ]);
   const {store, hosts, configure, publish, restart, send} = fleet;
   const [cutOff, leaving] = hosts;
-  await untilInForce(hosts, 1);
-  await untilAllListed(hosts);
-  const copy = store.copy();
+  await waitForVersion(hosts, 1);
+  await waitForAllUpstreams(hosts);
+  const copy = store.takeSnapshot();
   configure(2);
   publish(1, {seq: 2, state: 'draining'});
-  await untilInForce(hosts, 2);
+  await waitForVersion(hosts, 2);
   await waitUntil('draining', () =>
     hosts.every(({lines}) =>
       lines.some(({event}) => event === 'upstream-draining'),
     ),
   );
-  const arrivedCount = leaving!.backend.arrivedIds.length;
+  const arrivedCount = leaving!.upstream.arrivedIds.length;
 
   for (const version of [3, 4]) {
     store.setMode('reset');
@@ -39,21 +39,21 @@
     for (const index of [0, 2, 3]) publish(index, {seq: version});
     publish(1, {seq: version, state: 'draining'});
     configure(version);
-    store.setMode('well');
-    cutOff!.entrance.setMode('reset');
-    await untilInForce(hosts.slice(1), version);
+    store.setMode('healthy');
+    cutOff!.storeEndpoint.setMode('reset');
+    await waitForVersion(hosts.slice(1), version);
     const answer = await send(0, {
       attemptId: `cut-off-${String(version)}`,
       path: '/a/1',
     });
     t.is(answer.statusCode, 200);
-    cutOff!.entrance.setMode('well');
-    await untilInForce(hosts, version);
+    cutOff!.storeEndpoint.setMode('healthy');
+    await waitForVersion(hosts, version);
   }
 
-  t.is(leaving!.backend.arrivedIds.length, arrivedCount);
+  t.is(leaving!.upstream.arrivedIds.length, arrivedCount);
   for (const host of hosts) {
-    const versions = versionsOf(host).map(Number);
+    const versions = activeVersions(host).map(Number);
     t.deepEqual(
       versions,
       [...versions].sort((a, b) => a - b),
--- a/test/contract/platform_retries.test.ts
+++ b/test/contract/platform_retries.test.ts
@@ -19,11 +19,11 @@
     await fleet.send(shop!, {attemptId, path: '/a/1'});
   }
   const ranLost: string[] = [];
-  for (const {backend} of orders) {
-    backend.setBehaviour(request => {
-      if (request.target.startsWith('/a/lost')) ranLost.push(backend.id);
+  for (const {upstream} of orders) {
+    upstream.setHandler(request => {
+      if (request.target.startsWith('/a/lost')) ranLost.push(upstream.id);
       if (ranLost.length === 1) return;
-      request.answer(200, 'done');
+      request.respond(200, 'done');
     });
   }
   const answer = await fleet.send(shop!, {attemptId: 'lost', path: '/a/lost'});
@@ -42,11 +42,11 @@
   for (let index = 0; index < LEARNING_COUNT; index += 1) {
     await send(`learn${String(index)}`);
   }
-  for (const {backend} of orders) backend.setBehaviour(() => undefined);
+  for (const {upstream} of orders) upstream.setHandler(() => undefined);
   const answer = await send('lost');
   t.is(answer.statusCode, 504);
-  const runsCount = orders.filter(({backend}) =>
-    backend.runIds.includes('lost'),
+  const runsCount = orders.filter(({upstream}) =>
+    upstream.runIds.includes('lost'),
   ).length;
   t.is(runsCount, 1);
 });
--- a/test/contract/platform_stop.test.ts
+++ b/test/contract/platform_stop.test.ts
@@ -4,7 +4,7 @@
 import test from 'ava';
 import {FLEET_HOST_NAME} from '../fakes/fleet_client.js';
 import {isReady, SAFE_PATH} from '../fakes/platform_fleet.js';
-import {recordReadRequests} from '../fakes/read_requests.js';
+import {recordReceivedRequests} from '../fakes/received_requests.js';
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
@@ -18,9 +18,9 @@
   const [first, second] = fleet.hosts;
   const release: Array<() => void> = [];
   for (const host of [first!, second!]) {
-    host.backend.setBehaviour(request => {
+    host.upstream.setHandler(request => {
       release.push(() => {
-        request.answer(200, 'done');
+        request.respond(200, 'done');
       });
     });
   }
@@ -33,13 +33,13 @@
   t.is(answer.statusCode, 200);
   t.is(answer.headers.connection, 'close');
   for (const host of [first!, second!]) {
-    host.backend.setBehaviour(request => {
-      request.answer(200, 'other');
+    host.upstream.setHandler(request => {
+      request.respond(200, 'other');
     });
   }
   const next = await fleet.send(second!, {attemptId: 'next', path: '/a/1'});
   t.is(next.statusCode, 200);
-  t.true(second!.backend.runIds.includes('next'));
+  t.true(second!.upstream.runIds.includes('next'));
   await stopped;
 });
 
@@ -53,20 +53,20 @@
     paths: [SAFE_PATH],
   });
   const [shop, orders] = fleet.hosts;
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     setTimeout(() => {
-      request.answer(200, 'done');
+      request.respond(200, 'done');
     }, 200);
   });
   const endings: string[] = [];
   const resetIds: string[] = [];
-  const readRequests = recordReadRequests(t);
+  const readRequests = recordReceivedRequests(t);
   let sentCount = 0;
   const loadTimer = setInterval(() => {
     sentCount += 1;
     const attemptId = `p${String(sentCount)}`;
     fleet.send(shop!, {attemptId, path: '/a/1'}).then(
-      answer => endings.push(answer.isBroken ? 'broken' : 'answered'),
+      answer => endings.push(answer.isIncomplete ? 'broken' : 'answered'),
       (error: NodeJS.ErrnoException) => {
         endings.push(error.code ?? 'error');
         if (error.code !== 'ECONNREFUSED') resetIds.push(attemptId);
--- a/test/contract/platform_stop_bodies.test.ts
+++ b/test/contract/platform_stop_bodies.test.ts
@@ -5,16 +5,16 @@
 import test from 'ava';
 import type {FleetHost, PlatformFleet} from '../fakes/platform_fleet.js';
 import {FLEET_HOST_NAME} from '../fakes/fleet_client.js';
-import {fleetPath, ORDER_PATH, SAFE_PATH} from '../fakes/platform_fleet.js';
+import {createPath, ORDER_PATH, SAFE_PATH} from '../fakes/platform_fleet.js';
 import {connectRawClient} from '../fakes/raw_client.js';
-import type {ReceivedRequest} from '../fakes/stand_in_backend.js';
+import type {ReceivedRequest} from '../fakes/fake_upstream.js';
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
 /** After clients were notified, and after requests in flight were abandoned. */
 const LATE_MILLIS = [4000, 5300];
 
-const SHOP_PATH = fleetPath({
+const SHOP_PATH = createPath({
   name: 'r-3',
   prefix: '/shop/',
   service: 'shop',
@@ -44,7 +44,7 @@
     // process ended at 5.5 s without a response. Whether to accept it had been
     // checked only at its header.
     const {fleet, shop, orders} = await startTwoHosts(t);
-    orders.backend.setBehaviour(() => undefined);
+    orders.upstream.setHandler(() => undefined);
     const socket = net.connect(fleet.outboundPort, shop.address);
     t.teardown(() => socket.destroy());
     let received = '';
@@ -62,7 +62,7 @@
     await stopped;
     // Data that the node has already sent may still be in transit.
     await waitUntil('closed', () => socket.closed);
-    t.deepEqual(orders.backend.runIds, []);
+    t.deepEqual(orders.upstream.runIds, []);
     t.regex(received, /HTTP\/1\.1 503 /);
   });
 }
@@ -73,20 +73,20 @@
   // accepted until the process ended.
   const {fleet, shop, orders} = await startTwoHosts(t);
   const held: ReceivedRequest[] = [];
-  shop.backend.setBehaviour(request => {
+  shop.upstream.setHandler(request => {
     held.push(request);
   });
   const parent = fleet.send(orders, {attemptId: 'held', path: '/shop/1'});
   await waitUntil('in flight', () => held.length === 1);
-  orders.backend.setBehaviour(() => undefined);
+  orders.upstream.setHandler(() => undefined);
   const stopped = shop.node.stop();
   await sleep(5000);
   const calls = await connectRawClient(t, shop.address, fleet.outboundPort);
   await sleep(320);
-  calls.ask('held.1', '/a/1');
+  calls.sendRequest('held.1', '/a/1');
   await stopped;
-  t.deepEqual(orders.backend.runIds, []);
+  t.deepEqual(orders.upstream.runIds, []);
   t.deepEqual(calls.statusCodes, [503]);
-  for (const request of held) request.answer(200, 'done');
+  for (const request of held) request.respond(200, 'done');
   await parent;
 });
--- a/test/contract/platform_stop_late.test.ts
+++ b/test/contract/platform_stop_late.test.ts
@@ -2,9 +2,9 @@
 import type {ExecutionContext} from 'ava';
 import test from 'ava';
 import type {FleetHost, PlatformFleet} from '../fakes/platform_fleet.js';
-import {fleetPath, SAFE_PATH} from '../fakes/platform_fleet.js';
+import {createPath, SAFE_PATH} from '../fakes/platform_fleet.js';
 import {connectRawClient} from '../fakes/raw_client.js';
-import type {ReceivedRequest} from '../fakes/stand_in_backend.js';
+import type {ReceivedRequest} from '../fakes/fake_upstream.js';
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
@@ -24,7 +24,7 @@
 const OBJECTIVE_SECONDS = 2;
 
 /** Route to the upstream on the host of the stopping node. */
-const SHOP_PATH = fleetPath({
+const SHOP_PATH = createPath({
   name: 'r-3',
   prefix: '/shop/',
   service: 'shop',
@@ -58,7 +58,7 @@
   });
   const [shop, orders] = fleet.hosts;
   const received: ReceivedRequest[] = [];
-  shop!.backend.setBehaviour(request => {
+  shop!.upstream.setHandler(request => {
     received.push(request);
   });
   const answer = fleet.send(orders!, {attemptId: 'held', path: '/shop/1'});
@@ -82,10 +82,10 @@
   const {fleet, shop, orders, requestInFlight, stopped} =
     await stopWithRequestInFlight(t);
   const early = await connectRawClient(t, shop.address, fleet.outboundPort);
-  orders.backend.setBehaviour(() => undefined);
+  orders.upstream.setHandler(() => undefined);
   await sleep(LATE_MILLIS);
   const late = fleet.send(shop, {attemptId: 'late-new', path: '/a/1'});
-  early.ask('late-early', '/a/1');
+  early.sendRequest('late-early', '/a/1');
   const answer = await Promise.race([late, stopped]);
   t.like(answer, {statusCode: 503, headers: {connection: 'close'}});
   await waitUntil('answered or ended', () => early.isClosed);
@@ -96,8 +96,8 @@
   );
   t.true(returnSeconds >= 0.2 * OBJECTIVE_SECONDS);
   t.true(returnSeconds <= 0.7 * OBJECTIVE_SECONDS);
-  t.deepEqual(orders.backend.runIds, []);
-  requestInFlight.answer(200, 'done');
+  t.deepEqual(orders.upstream.runIds, []);
+  requestInFlight.respond(200, 'done');
   await stopped;
   t.like(shop.node.state(), {node: {busyCount: 0}});
 });
@@ -112,7 +112,7 @@
   await sleep(4000);
   const call = await fleet.send(shop, {attemptId: 'held.1', path: '/a/1'});
   t.is(call.statusCode, 200);
-  requestInFlight.answer(200, 'done');
+  requestInFlight.respond(200, 'done');
   t.is(await inFlightStatusCode, 200);
   await stopped;
 });
@@ -123,12 +123,12 @@
   // although the end of the grace period is known in advance.
   const fleet = await startFleet(t, {
     services: ['shop', 'orders'],
-    paths: [fleetPath({timeoutS: 20})],
+    paths: [createPath({timeoutS: 20})],
   });
   const [shop, orders] = fleet.hosts;
-  orders!.backend.setBehaviour(() => undefined);
+  orders!.upstream.setHandler(() => undefined);
   const pending = fleet.send(shop!, {attemptId: 'long', path: '/a/1'});
-  await waitUntil('in flight', () => orders!.backend.runIds.length === 1);
+  await waitUntil('in flight', () => orders!.upstream.runIds.length === 1);
   const stopped = shop!.node.stop().then(() => 'stopped');
   const end = await Promise.race([pending, stopped]);
   t.like(end, {statusCode: 504});
@@ -146,17 +146,17 @@
   });
   const [shop, orders] = fleet.hosts;
   const received: ReceivedRequest[] = [];
-  orders!.backend.setBehaviour(request => {
+  orders!.upstream.setHandler(request => {
     received.push(request);
   });
   const client = await connectRawClient(t, shop!.address, fleet.outboundPort);
-  client.ask('first', '/a/1');
-  client.ask('second', '/a/2');
+  client.sendRequest('first', '/a/1');
+  client.sendRequest('second', '/a/2');
   await waitUntil('both in flight', () => received.length === 2);
   const stopped = shop!.node.stop();
-  received.find(({attemptId}) => attemptId === 'first')!.answer(200, 'one');
+  received.find(({attemptId}) => attemptId === 'first')!.respond(200, 'one');
   await waitUntil('first answer', () => client.statusCodes.length === 1);
-  received.find(({attemptId}) => attemptId === 'second')!.answer(200, 'two');
+  received.find(({attemptId}) => attemptId === 'second')!.respond(200, 'two');
   await waitUntil('closed', () => client.isClosed);
   t.deepEqual(client.statusCodes, [200, 200]);
   t.is(client.received.match(/connection: close/gi)?.length, 1);
@@ -179,8 +179,8 @@
     await fleet.send(shop!, {attemptId, path: '/a/1'});
   }
   const received: ReceivedRequest[] = [];
-  for (const {backend} of orders) {
-    backend.setBehaviour(request => {
+  for (const {upstream} of orders) {
+    upstream.setHandler(request => {
       received.push(request);
     });
   }
@@ -188,7 +188,7 @@
   const pending = fleet.send(shop!, {attemptId: 'slow', path: '/a/1'});
   await waitUntil('in flight', () => received.length > 0);
   await sleep(UNUSUAL_MILLIS);
-  for (const request of received) request.answer(200, 'done');
+  for (const request of received) request.respond(200, 'done');
   t.is((await pending).statusCode, 200);
   t.is(received.length, 1);
   await stopped;
--- a/test/contract/platform_stop_responses.test.ts
+++ b/test/contract/platform_stop_responses.test.ts
@@ -2,15 +2,15 @@
 import {once} from 'node:events';
 import net from 'node:net';
 import {FLEET_HOST_NAME} from '../fakes/fleet_client.js';
-import {fleetPath, SAFE_PATH} from '../fakes/platform_fleet.js';
-import {signatureOf} from '../fakes/stand_in_backend.js';
+import {createPath, SAFE_PATH} from '../fakes/platform_fleet.js';
+import {signatureOf} from '../fakes/fake_upstream.js';
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
 /** Longer than the responses that a node buffers completely. */
 const LONG_BYTES = 140_000;
 
-const OWN_PATH = fleetPath({name: 'r-3', prefix: '/own/', service: 'shop'});
+const OWN_PATH = createPath({name: 'r-3', prefix: '/own/', service: 'shop'});
 
 for (const [where, path] of [
   ['another host', '/a/1'],
@@ -27,9 +27,9 @@
       paths: [SAFE_PATH, OWN_PATH],
     });
     const [shop] = fleet.hosts;
-    for (const {backend} of fleet.hosts) {
-      backend.setBehaviour(({attemptId, socket}) => {
-        const signature = signatureOf(backend.id, attemptId);
+    for (const {upstream} of fleet.hosts) {
+      upstream.setHandler(({attemptId, socket}) => {
+        const signature = signatureOf(upstream.id, attemptId);
         socket.write(
           `HTTP/1.1 200 OK\r\nattempt-id: ${attemptId}\r\n` +
             `response-signature: ${signature}\r\nconnection: close\r\n\r\n`,
--- a/test/contract/platform_store_restored.test.ts
+++ b/test/contract/platform_store_restored.test.ts
@@ -6,7 +6,7 @@
   PlatformFleet,
 } from '../fakes/platform_fleet.js';
 import {SAFE_PATH} from '../fakes/platform_fleet.js';
-import type {StoreCopy} from '../fakes/stand_in_store.js';
+import type {StoreSnapshot} from '../fakes/fake_store.js';
 import {startFleet} from '../fakes/test_fleet.js';
 import {waitUntil} from '../fakes/wait_until.js';
 
@@ -46,7 +46,7 @@
 ): Promise<void> {
   fleet.publish(host, {...fields, state: 'draining'});
   await waitUntilAllLogged(fleet, 'upstream-draining', {
-    upstream: host.backend.id,
+    upstream: host.upstream.id,
   });
 }
 
@@ -66,13 +66,13 @@
 /** Makes the store unavailable for a moment and restores it from a copy. */
 function restore(
   {store}: PlatformFleet,
-  copy: StoreCopy,
+  copy: StoreSnapshot,
   writeMeanwhile: () => void = () => undefined,
 ): void {
   store.setMode('reset');
   store.restore(copy);
   writeMeanwhile();
-  store.setMode('well');
+  store.setMode('healthy');
 }
 
 test('changes written after a restore are received', async t => {
@@ -86,7 +86,7 @@
   });
   const {store, hosts} = fleet;
   const [shop, leaving] = hosts;
-  const copy = store.copy();
+  const copy = store.takeSnapshot();
   for (let seq = 2; seq < 5; seq += 1) fleet.publish(shop!, {seq});
   await configureNext(fleet, 2);
   const lostRevision = store.revision;
@@ -116,10 +116,10 @@
   });
   const {store, hosts} = fleet;
   const [shop, ...others] = hosts;
-  const copy = store.copy();
+  const copy = store.takeSnapshot();
   for (let seq = 2; seq < 30; seq += 1) fleet.publish(shop!, {seq});
   await configureNext(fleet, 2);
-  shop!.storeEntrance.setMode('reset');
+  shop!.storeEndpoint.setMode('reset');
   await waitUntil('disconnected', () => countEvents(shop!, 'store-lost') > 0);
   store.restore(copy);
   for (let index = 0; index < 40; index += 1) {
@@ -144,7 +144,7 @@
   const [shop, orders] = hosts;
   fleet.withdraw(orders!);
   await waitUntilAllLogged(fleet, 'upstream-left', {upstream: 'i-2'});
-  const copy = store.copy();
+  const copy = store.takeSnapshot();
   fleet.publish(orders!, {seq: 2});
   await waitUntil('joined', () =>
     hosts.every(host => countEvents(host, 'upstream-joined') === 3),
@@ -166,7 +166,7 @@
   const [, orders] = fleet.hosts;
   fleet.withdraw(orders!);
   await waitUntilAllLogged(fleet, 'upstream-left', {upstream: 'i-2'});
-  const copy = fleet.store.copy();
+  const copy = fleet.store.takeSnapshot();
   fleet.publish(orders!, {seq: 2});
   await waitUntil('joined', () =>
     fleet.hosts.every(host => countEvents(host, 'upstream-joined') === 3),
@@ -193,7 +193,7 @@
     });
     const [shop, leaving] = fleet.hosts;
     fleet.publish(leaving!, {born, seq: 2, slots: 19});
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     await publishDraining(fleet, leaving!, {born, seq: 3});
     fleet.withdraw(leaving!);
     await waitUntilAllLogged(fleet, 'upstream-left', {upstream: 'i-2'});
@@ -207,7 +207,7 @@
       const attemptId = `a${String(index)}`;
       await fleet.send(shop!, {attemptId, path: '/a/1'});
     }
-    t.is(leaving!.backend.arrivedIds.length, 0);
+    t.is(leaving!.upstream.arrivedIds.length, 0);
     // An upstream that is still running writes its entry again.
     fleet.publish(leaving!, {born, seq: 4});
     await waitUntil('joined again', () =>
@@ -226,7 +226,7 @@
     });
     const [, leaving] = fleet.hosts;
     fleet.publish(leaving!, {born, seq: 2, slots: 19});
-    const copy = fleet.store.copy();
+    const copy = fleet.store.takeSnapshot();
     await publishDraining(fleet, leaving!, {born, seq: 3});
     restore(fleet, copy);
     await configureNext(fleet, 2);
@@ -242,7 +242,7 @@
     paths: [SAFE_PATH],
   });
   const {store, hosts} = fleet;
-  const copy = store.copy();
+  const copy = store.takeSnapshot();
   await configureNext(fleet, 2);
   restore(fleet, copy);
   await configureNext(fleet, 3);
@@ -265,7 +265,7 @@
     services: ['shop', 'orders'],
     paths: [SAFE_PATH],
   });
-  const copy = fleet.store.copy();
+  const copy = fleet.store.takeSnapshot();
   await configureNext(fleet, 2);
   restore(fleet, copy);
   await configureNext(fleet, 3);
--- a/test/fakes/event_clock.ts
+++ b/test/fakes/event_clock.ts
@@ -6,7 +6,7 @@
 export interface EventClock {
   nowMillis(): number;
   /** Calls the listener after a delay; the returned function calls it off. */
-  after(delayMillis: number, onTime: () => void): () => void;
+  schedule(delayMillis: number, onTime: () => void): () => void;
   /** Runs all events up to a time. */
   runUntil(untilMillis: number): void;
 }
@@ -24,7 +24,7 @@
   let sequence = 0;
   return {
     nowMillis: () => now,
-    after: (delayMillis, onTime) => {
+    schedule: (delayMillis, onTime) => {
       sequence += 1;
       const atMillis = now + Math.max(0, delayMillis);
       const event: TimedEvent = {atMillis, sequence, onTime};
--- a/test/fakes/stand_in_store.ts
+++ b/test/fakes/fake_store.ts
@@ -7,16 +7,16 @@
 import type {AddressInfo} from 'node:net';
 
 /** How the store treats calls. */
-export type StoreMode = 'well' | 'busy' | 'silent' | 'reset';
+export type StoreMode = 'healthy' | 'busy' | 'silent' | 'reset';
 
 /** An address of the store, which can be lost while others answer. */
-export interface StoreEntrance {
+export interface StoreEndpoint {
   readonly port: number;
   setMode(mode: StoreMode): void;
 }
 
 /** What the store held at one moment. */
-export interface StoreCopy {
+export interface StoreSnapshot {
   readonly items: ReadonlyMap<string, Change>;
   readonly history: readonly Change[];
   readonly oldestRevision: number;
@@ -24,12 +24,12 @@
 }
 
 /** The stand-in. */
-export interface StandInStore {
+export interface FakeStore {
   /** Calls received so far. */
   readonly callsCount: number;
   /** Revision of the last change. */
   readonly revision: number;
-  openEntrance(): Promise<StoreEntrance>;
+  openEndpoint(): Promise<StoreEndpoint>;
   put(key: string, value: object): void;
   /** Writes what another writer left there; `text` stands where base64 should. */
   putRaw(key: string, text: string | undefined): void;
@@ -38,23 +38,23 @@
   setMode(mode: StoreMode): void;
   /** Forgets the history: watches from the past get 410. */
   compact(): void;
-  copy(): StoreCopy;
+  takeSnapshot(): StoreSnapshot;
   /**
    * Comes back from a copy. What was written since is gone, and its revisions are
    * given out again.
    */
-  restore(copy: StoreCopy): void;
+  restore(copy: StoreSnapshot): void;
   /** Acts once, as the second page of a range is asked for. */
-  beforeSecondPage(act: () => void): void;
+  onSecondPage(act: () => void): void;
   /**
    * The next watches from before the history hear nothing, and get their 410 only
    * when their wait is over.
    */
-  holdLost(count: number): void;
+  delayHistoryLost(count: number): void;
   /** The longest wait of these that was over when it was told; 0 if none was. */
-  readonly longestHeldMillis: number;
+  readonly longestDelayMillis: number;
   /** Items a page of a range holds. */
-  setPageItems(count: number): void;
+  setPageSize(count: number): void;
   close(): void;
 }
 
@@ -82,7 +82,7 @@
 const DEFAULT_PAGE_ITEMS = 500;
 
 /** Creates a store without items and entrances. */
-export function createStandInStore(): StandInStore {
+export function createFakeStore(): FakeStore {
   const entrances: Entrance[] = [];
   let items = new Map<string, Change>();
   let history: Change[] = [];
@@ -220,14 +220,14 @@
 
   const setMode = (entrance: Entrance, mode: StoreMode): void => {
     entrance.mode = mode;
-    if (mode !== 'well') cutWatches(waiting => waiting.entrance === entrance);
+    if (mode !== 'healthy') cutWatches(waiting => waiting.entrance === entrance);
   };
 
-  const openEntrance = async (): Promise<StoreEntrance> => {
+  const openEndpoint = async (): Promise<StoreEndpoint> => {
     const server = createServer((request, response) => {
       handle(entrance, request, response);
     });
-    const entrance: Entrance = {server, mode: 'well'};
+    const entrance: Entrance = {server, mode: 'healthy'};
     entrances.push(entrance);
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
     return {
@@ -258,9 +258,9 @@
     get revision() {
       return revision;
     },
-    openEntrance,
+    openEndpoint,
     put: (key, value) => {
-      putRaw(key, base64Of(JSON.stringify(value)));
+      putRaw(key, encodeBase64(JSON.stringify(value)));
     },
     putRaw,
     remove: key => {
@@ -276,7 +276,7 @@
       oldestRevision = revision;
       cutWatches(() => true);
     },
-    copy: () => ({
+    takeSnapshot: () => ({
       items: new Map(items),
       history: [...history],
       oldestRevision,
@@ -289,16 +289,16 @@
       era += 1;
       cutWatches(() => true);
     },
-    beforeSecondPage: act => {
+    onSecondPage: act => {
       actBeforeSecondPage = act;
     },
-    holdLost: count => {
+    delayHistoryLost: count => {
       holdCount = count;
     },
-    get longestHeldMillis() {
+    get longestDelayMillis() {
       return longestHeldMillis;
     },
-    setPageItems: count => {
+    setPageSize: count => {
       pageItemsCount = count;
     },
     close: () => {
@@ -311,6 +311,6 @@
 }
 
 /** Text as the store encodes values. */
-export function base64Of(text: string): string {
+export function encodeBase64(text: string): string {
   return Buffer.from(text).toString('base64');
 }
--- a/test/fakes/stand_in_backend.ts
+++ b/test/fakes/fake_upstream.ts
@@ -16,26 +16,26 @@
   readonly socket: Socket;
   readonly response: ServerResponse;
   /** Answers like a sound upstream. */
-  answer(statusCode: number, body: string): void;
+  respond(statusCode: number, body: string): void;
 }
 
 /** What an upstream does with a request that it runs. */
-export type Behaviour = (request: ReceivedRequest) => void;
+export type UpstreamHandler = (request: ReceivedRequest) => void;
 
 /** The stand-in. */
-export interface StandInBackend {
+export interface FakeUpstream {
   readonly id: string;
   /** Ids of the attempts that its starts were handed, run or not, in order. */
   readonly arrivedIds: readonly string[];
   /** Ids of the attempts that its starts began to work on, in order. */
   readonly runIds: readonly string[];
   /** Most requests that it worked on at the same time. */
-  readonly maxAtOnce: number;
+  readonly maxConcurrentCount: number;
   /** Connections that were closed while a request was at work. */
-  readonly cutCount: number;
-  setBehaviour(behaviour: Behaviour): void;
+  readonly abortedCount: number;
+  setHandler(behaviour: UpstreamHandler): void;
   /** Time after which it says that a request is meant for another one. */
-  setDenialMillis(millis: number): void;
+  setMisdirectedDelayMillis(millis: number): void;
   /**
    * Ends as in a crash and starts again, under the same id if none is given;
    * what it held is lost, and its connections are reset.
@@ -53,7 +53,7 @@
 
 /** Which requests crash an upstream, and what follows. */
 export interface CrashPlan {
-  readonly isCulprit: (request: ReceivedRequest) => boolean;
+  readonly isMatch: (request: ReceivedRequest) => boolean;
   /** Time for which it works on the request before it ends. */
   readonly afterMillis: number;
   /** Time until it starts again. */
@@ -63,7 +63,7 @@
 }
 
 /** What an upstream is made of. */
-export interface StandInBackendOptions {
+export interface FakeUpstreamOptions {
   readonly id: string;
   readonly address: string;
   readonly port: number;
@@ -75,9 +75,9 @@
 }
 
 /** Starts an upstream that answers every request with 200. */
-export async function startStandInBackend(
-  options: StandInBackendOptions,
-): Promise<StandInBackend> {
+export async function startFakeUpstream(
+  options: FakeUpstreamOptions,
+): Promise<FakeUpstream> {
   let {id} = options;
   const arrivedIds: string[] = [];
   const runIds: string[] = [];
@@ -88,8 +88,8 @@
   let crashesCount = 0;
   let crashPlan: CrashPlan | undefined;
   let isClosed = false;
-  let behaviour: Behaviour = request => {
-    request.answer(200, `body of ${request.attemptId}`);
+  let behaviour: UpstreamHandler = request => {
+    request.respond(200, `body of ${request.attemptId}`);
   };
 
   const run = (received: ReceivedRequest): void => {
@@ -100,7 +100,7 @@
       atWorkCount -= 1;
       if (!received.response.writableFinished) cutCount += 1;
     });
-    if (crashPlan?.isCulprit(received) === true) {
+    if (crashPlan?.isMatch(received) === true) {
       void crash(crashPlan);
       return;
     }
@@ -143,16 +143,16 @@
     },
     arrivedIds,
     runIds,
-    get maxAtOnce() {
+    get maxConcurrentCount() {
       return maxAtOnce;
     },
-    get cutCount() {
+    get abortedCount() {
       return cutCount;
     },
-    setBehaviour: next => {
+    setHandler: next => {
       behaviour = next;
     },
-    setDenialMillis: millis => {
+    setMisdirectedDelayMillis: millis => {
       denialMillis = millis;
     },
     restart: async (nextId = id) => {
@@ -177,7 +177,7 @@
 
 function listen(
   handle: Handler,
-  options: StandInBackendOptions,
+  options: FakeUpstreamOptions,
 ): Promise<Server> {
   const server = createServer(handle);
   return new Promise((resolve, reject) => {
@@ -212,7 +212,7 @@
     body: Buffer.concat(chunks).toString('utf8'),
     socket: request.socket,
     response,
-    answer: (statusCode, body) => {
+    respond: (statusCode, body) => {
       response.writeHead(statusCode, {
         'attempt-id': attemptId,
         'response-signature': signatureOf(id, attemptId),
--- a/test/fakes/fleet_client.ts
+++ b/test/fakes/fleet_client.ts
@@ -14,12 +14,12 @@
 }
 
 /** What a client received. */
-export interface ClientAnswer {
+export interface ClientResponse {
   readonly statusCode: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
   /** The answer broke off before its end. */
-  readonly isBroken: boolean;
+  readonly isIncomplete: boolean;
 }
 
 /** Name under which clients address every route. */
@@ -30,7 +30,7 @@
   address: string,
   port: number,
   request: ClientRequest,
-): Promise<ClientAnswer> {
+): Promise<ClientResponse> {
   return new Promise((resolve, reject) => {
     const outgoing = http.request({
       host: address,
@@ -53,7 +53,7 @@
           statusCode: response.statusCode ?? 0,
           headers: response.headers,
           body: Buffer.concat(chunks).toString('utf8'),
-          isBroken: !response.complete,
+          isIncomplete: !response.complete,
         });
       };
       response.on('data', (chunk: Buffer) => chunks.push(chunk));
--- a/test/fakes/fleet_load.ts
+++ b/test/fakes/fleet_load.ts
@@ -3,7 +3,7 @@
  */
 
 /** A service and its upstreams, one for each speed. */
-export interface ReplayService {
+export interface SimulatedService {
   readonly name: string;
   readonly slotsCount: number;
   /** Work that an upstream does in a millisecond, by upstream. */
@@ -15,7 +15,7 @@
 }
 
 /** What requests of one route do. */
-export interface ReplayRoute {
+export interface SimulatedRoute {
   readonly name: string;
   readonly service: string;
   readonly rank: number;
@@ -27,24 +27,24 @@
 }
 
 /** Clients of one route. */
-export interface ReplayClients {
+export interface SimulatedClients {
   readonly route: string;
   readonly perSecond: number;
   /** Time that a client has for its request and one more try. */
-  readonly patienceMillis: number;
+  readonly totalTimeoutMillis: number;
 }
 
 /** A load on a fleet. */
-export interface ReplayOptions {
-  readonly services: readonly ReplayService[];
-  readonly routes: readonly ReplayRoute[];
-  readonly clients: readonly ReplayClients[];
-  readonly lengthMillis: number;
+export interface SimulationOptions {
+  readonly services: readonly SimulatedService[];
+  readonly routes: readonly SimulatedRoute[];
+  readonly clients: readonly SimulatedClients[];
+  readonly durationMillis: number;
   readonly seed: number;
 }
 
 /** What became of the requests that began in one second. */
-export interface RouteOutcome {
+export interface RouteCounts {
   sentCount: number;
   inTimeCount: number;
   lateCount: number;
@@ -53,16 +53,16 @@
 }
 
 /** What a service worked on in one second. */
-export interface ServiceOutcome {
+export interface ServiceCounts {
   runCount: number;
   /** Runs that ended well, and the request at the root of them too. */
   usefulCount: number;
 }
 
 /** Outcomes by second. */
-export interface ReplayOutcome {
-  readonly routes: ReadonlyMap<string, readonly RouteOutcome[]>;
-  readonly services: ReadonlyMap<string, readonly ServiceOutcome[]>;
+export interface SimulationResult {
+  readonly routes: ReadonlyMap<string, readonly RouteCounts[]>;
+  readonly services: ReadonlyMap<string, readonly ServiceCounts[]>;
 }
 
 /** Sums what is counted by second, from a second on. */
@@ -81,7 +81,7 @@
 }
 
 /** Nothing counted for each second. */
-export function emptyOutcomes(count: number): RouteOutcome[] {
+export function createRouteCounts(count: number): RouteCounts[] {
   return Array.from({length: count}, () => ({
     sentCount: 0,
     inTimeCount: 0,
@@ -92,7 +92,7 @@
 }
 
 /** Nothing counted for each second. */
-export function emptyRuns(count: number): ServiceOutcome[] {
+export function createServiceCounts(count: number): ServiceCounts[] {
   return Array.from({length: count}, () => ({runCount: 0, usefulCount: 0}));
 }
 
--- a/test/fakes/fleet_replay.ts
+++ b/test/fakes/fleet_simulation.ts
@@ -10,18 +10,28 @@
 import {createSeededRandom} from '../../src/emulator/seeded_random.js';
 import {createEventClock} from './event_clock.js';
 import type {
-  ReplayClients,
-  ReplayOptions,
-  ReplayOutcome,
+  SimulatedClients,
+  SimulationOptions,
+  SimulationResult,
+} from './fleet_load.js';
+import {
+  addCounts,
+  createRouteCounts,
+  createServiceCounts,
 } from './fleet_load.js';
-import {addCounts, emptyOutcomes, emptyRuns} from './fleet_load.js';
 import {createRetryGrant} from '../../src/process/retries/shared_retry_grant.js';
 import {DEFAULT_RETRIES_COUNT} from '../../src/version/route_configuration.js';
 import type {Placement} from '../../src/process/placement/placement.js';
-import type {Call, CallEnd, Root, Run, Verdict} from './replay_calls.js';
-import {creditRuns} from './replay_calls.js';
-import type {ReplayNode} from './replay_node.js';
-import {createReplayNodes} from './replay_node.js';
+import type {
+  Call,
+  CallResult,
+  RootRequest,
+  Run,
+  StartResult,
+} from './simulated_calls.js';
+import {countUsefulRuns} from './simulated_calls.js';
+import type {SimulatedNode} from './simulated_node.js';
+import {createSimulatedNodes} from './simulated_node.js';
 
 /** Time that a message takes from one node to another. */
 const HOP_MILLIS = 1;
@@ -40,30 +50,30 @@
 const SECOND_MILLIS = 1000;
 
 /** Replays a load on a fleet that has just started. */
-export function replayFleet(options: ReplayOptions): ReplayOutcome {
+export function simulateFleet(options: SimulationOptions): SimulationResult {
   const clock = createEventClock();
   const {nowMillis} = clock;
   const random = createSeededRandom(options.seed);
   const routes = new Map(options.routes.map(route => [route.name, route]));
-  const secondsCount = Math.ceil(options.lengthMillis / SECOND_MILLIS);
+  const secondsCount = Math.ceil(options.durationMillis / SECOND_MILLIS);
   const outcomes = new Map(
-    options.clients.map(({route}) => [route, emptyOutcomes(secondsCount)]),
+    options.clients.map(({route}) => [route, createRouteCounts(secondsCount)]),
   );
   const runs = new Map(
-    options.services.map(({name}) => [name, emptyRuns(secondsCount)]),
+    options.services.map(({name}) => [name, createServiceCounts(secondsCount)]),
   );
   let idsCount = 0;
 
   const secondOf = (millis: number): number =>
     Math.min(secondsCount - 1, Math.floor(millis / SECOND_MILLIS));
 
-  const nodes = createReplayNodes(options.services, {
+  const nodes = createSimulatedNodes(options.services, {
     nowMillis,
     random: random.next,
   });
   const nodeOf = new Map(nodes.map(node => [node.own.id, node]));
 
-  const startWork = (node: ReplayNode, call: Call): void => {
+  const startWork = (node: SimulatedNode, call: Call): void => {
     const {root, route} = call;
     const startedMillis = nowMillis();
     const second = runs.get(node.own.service)![secondOf(startedMillis)]!;
@@ -72,7 +82,7 @@
     root.runs.push(run);
     const counts = new Map<string, number>();
     let isOver = false;
-    const finish = (end: CallEnd): void => {
+    const finish = (end: CallResult): void => {
       if (isOver) return;
       isOver = true;
       callOffDeadline();
@@ -88,7 +98,7 @@
       run.isServed = end === 'served';
       call.onEnd(end, counts);
     };
-    const callOffDeadline = clock.after(
+    const callOffDeadline = clock.schedule(
       call.deadlineMillis - startedMillis,
       () => {
         finish('failed');
@@ -124,15 +134,15 @@
       route.workMillis * Math.exp(-(WORK_SIGMA ** 2) / 2),
       WORK_SIGMA,
     );
-    clock.after(workMillis / node.speed, () => {
+    clock.schedule(workMillis / node.speed, () => {
       callNext(0);
     });
   };
 
   const execute = (
-    node: ReplayNode,
+    node: SimulatedNode,
     call: Call,
-    onVerdict: (verdict: Verdict) => void,
+    onVerdict: (verdict: StartResult) => void,
   ): void => {
     node.level.recordArrival(
       call.root.importance,
@@ -140,8 +150,8 @@
     );
     node.rejections.recordArrival();
     const start = (): void => {
-      if (random.next() < node.rejectRatioNow()) {
-        clock.after(REJECT_MILLIS, () => {
+      if (random.next() < node.currentRejectRatio()) {
+        clock.schedule(REJECT_MILLIS, () => {
           node.queue.releaseWithoutSample();
           node.rejections.recordRejected();
           onVerdict('rejected');
@@ -171,13 +181,13 @@
     } else if (verdict === 'refused') {
       onVerdict('queue-full');
     } else {
-      callOff = clock.after(slot.startByMillis - nowMillis(), () => {
+      callOff = clock.schedule(slot.startByMillis - nowMillis(), () => {
         if (node.queue.withdraw(slot)) onVerdict('too-late');
       });
     }
   };
 
-  const attempt = (from: ReplayNode, call: Call): void => {
+  const attempt = (from: SimulatedNode, call: Call): void => {
     const history = createAttemptHistory();
     const charge = new Map([[call.route.service, 1]]);
     const offer = (): void => {
@@ -208,7 +218,7 @@
           from.loadTable.observe(load);
         }
       };
-      const goOn = (verdict: Verdict): void => {
+      const goOn = (verdict: StartResult): void => {
         learn();
         placement.end(verdict === 'rejected' ? 'failed' : 'neutral');
         history.end(verdict === 'rejected' ? 'rejected' : 'full');
@@ -221,14 +231,14 @@
         if (mayOffer) offer();
         else call.onEnd('refused', new Map());
       };
-      clock.after(delayMillis, () => {
+      clock.schedule(delayMillis, () => {
         execute(
           node,
           {
             ...call,
             usualMillis,
             onEnd: (end, calls) => {
-              clock.after(delayMillis, () => {
+              clock.schedule(delayMillis, () => {
                 learn();
                 if (end === 'served') {
                   from.attemptTimeouts.recordResponse(
@@ -243,7 +253,7 @@
           },
           verdict => {
             if (verdict === 'started') return;
-            clock.after(delayMillis, () => {
+            clock.schedule(delayMillis, () => {
               goOn(verdict);
             });
           },
@@ -254,7 +264,7 @@
   };
 
   const enter = (
-    clients: ReplayClients,
+    clients: SimulatedClients,
     firstMillis: number,
     triesCount: number,
   ): void => {
@@ -263,7 +273,7 @@
     idsCount += 1;
     const id = `${options.seed}-${Math.imul(idsCount, 0x9e3779b1) >>> 0}`;
     const outcome = outcomes.get(route.name)![secondOf(firstMillis)]!;
-    const root: Root = {
+    const root: RootRequest = {
       id,
       importance: importanceOf(route.rank, id),
       beganAtMillis: nowMillis(),
@@ -271,7 +281,7 @@
       runs: [],
     };
     const refuse = (): void => {
-      const leftMillis = firstMillis + clients.patienceMillis - nowMillis();
+      const leftMillis = firstMillis + clients.totalTimeoutMillis - nowMillis();
       const width = RETURN_LATEST_RATIO - RETURN_EARLIEST_RATIO;
       const wantedMillis =
         route.objectiveMillis * (RETURN_EARLIEST_RATIO + width * random.next());
@@ -279,7 +289,7 @@
         outcome.refusedCount += 1;
         return;
       }
-      clock.after(Math.min(wantedMillis, leftMillis / 3), () => {
+      clock.schedule(Math.min(wantedMillis, leftMillis / 3), () => {
         enter(clients, firstMillis, triesCount + 1);
       });
     };
@@ -306,7 +316,7 @@
           const millis = nowMillis() - firstMillis;
           if (millis <= route.objectiveMillis) outcome.inTimeCount += 1;
           else outcome.lateCount += 1;
-          creditRuns(root);
+          countUsefulRuns(root);
         } else if (root.runs.length === 0) {
           refuse();
         } else {
@@ -318,14 +328,14 @@
   };
 
   /** Asks one node of each service whose loads are heard of no more. */
-  const askLoads = (node: ReplayNode): void => {
+  const askLoads = (node: SimulatedNode): void => {
     for (const service of node.loadPoller.dueServices()) {
       const others = nodes.filter(
         other => other !== node && other.own.service === service,
       );
       const asked = others[Math.floor(random.next() * others.length)];
       if (asked === undefined) continue;
-      clock.after(2 * HOP_MILLIS, () => {
+      clock.schedule(2 * HOP_MILLIS, () => {
         for (const load of asked.loads()) node.loadTable.observe(load);
       });
     }
@@ -333,23 +343,26 @@
 
   for (const clients of options.clients) {
     const next = (): void => {
-      if (nowMillis() >= options.lengthMillis) return;
+      if (nowMillis() >= options.durationMillis) return;
       outcomes.get(clients.route)![secondOf(nowMillis())]!.sentCount += 1;
       enter(clients, nowMillis(), 1);
-      clock.after(random.exponential(SECOND_MILLIS / clients.perSecond), next);
+      clock.schedule(
+        random.exponential(SECOND_MILLIS / clients.perSecond),
+        next,
+      );
     };
-    clock.after(random.exponential(SECOND_MILLIS / clients.perSecond), next);
+    clock.schedule(random.exponential(SECOND_MILLIS / clients.perSecond), next);
   }
   nodes.forEach(node => {
     const tick = (): void => {
-      node.moveLevel();
+      node.updateLevel();
       askLoads(node);
-      if (nowMillis() < options.lengthMillis) {
-        clock.after(LEVEL_WINDOW_MILLIS, tick);
+      if (nowMillis() < options.durationMillis) {
+        clock.schedule(LEVEL_WINDOW_MILLIS, tick);
       }
     };
-    clock.after(LEVEL_WINDOW_MILLIS * random.next(), tick);
+    clock.schedule(LEVEL_WINDOW_MILLIS * random.next(), tick);
   });
-  clock.runUntil(options.lengthMillis + 3000);
+  clock.runUntil(options.durationMillis + 3000);
   return {routes: outcomes, services: runs};
 }
--- a/test/fakes/follower_replay.ts
+++ b/test/fakes/follower_simulation.ts
@@ -5,29 +5,29 @@
 import * as TestClock from 'effect/testing/TestClock';
 import type {DocumentFollowerOptions} from '../../src/connection/document_follower.js';
 import {followDocuments} from '../../src/connection/document_follower.js';
-import type {ReplayedSource} from './replayed_source.js';
+import type {SimulatedSource} from './simulated_source.js';
 
 /** What a replay needs. */
-export interface FollowerReplayOptions extends Omit<
+export interface FollowerSimulationOptions extends Omit<
   DocumentFollowerOptions,
   'source' | 'nowMillis'
 > {
-  readonly source: ReplayedSource;
-  readonly clock: ReplayClock;
+  readonly source: SimulatedSource;
+  readonly clock: ManualClock;
   readonly stepMillis: number;
   readonly endMillis: number;
   /** Called at each step, before the source answers. */
-  readonly act: (atMillis: number) => void;
+  readonly onStep: (atMillis: number) => void;
 }
 
 /** A clock that a replay moves. */
-export interface ReplayClock {
+export interface ManualClock {
   millis: number;
 }
 
 /** Follows the source to the end. */
-export async function replayFollower(
-  options: FollowerReplayOptions,
+export async function simulateFollower(
+  options: FollowerSimulationOptions,
 ): Promise<void> {
   const {clock, source, stepMillis} = options;
   const follower = followDocuments({
@@ -38,7 +38,7 @@
     yield* Effect.forkChild(follower);
     while (clock.millis < options.endMillis) {
       clock.millis += stepMillis;
-      options.act(clock.millis);
+      options.onStep(clock.millis);
       source.tick();
       yield* Effect.promise(() => new Promise(setImmediate));
       yield* TestClock.adjust(stepMillis);
--- a/test/fakes/hop_fixture.ts
+++ b/test/fakes/hop_fixture.ts
@@ -71,7 +71,7 @@
     await listener.close();
   });
 
-  /** Sends a request; `ended` holds how it ended. */
+  /** Sends a request; `ended` resolves with its result. */
   const send = (isRepeatable: boolean, body = NOTHING): SentHop => {
     let hop: OutgoingHop | undefined;
     const ended = new Promise<HopResult>(resolve => {
@@ -129,7 +129,7 @@
 }
 
 /** Answers with a text, and the rest if there is one. */
-export function answerWith(
+export function respondWith(
   arrival: IncomingHop,
   text: string,
   bodyRest?: Readable,
@@ -155,7 +155,7 @@
 }
 
 /** The beginning of the answer, or how the request ended without one. */
-export function startOf(end: HopResult): string {
+export function describeResult(end: HopResult): string {
   if (end.kind !== 'answer') return `${end.kind} ${end.reason}`;
   return end.received?.bodyStart.toString() ?? 'no answer';
 }
--- a/test/fakes/node_process.ts
+++ b/test/fakes/node_process.ts
@@ -11,18 +11,18 @@
 
 /** What a process has cost since its start. */
 export interface ProcessCost {
-  readonly processorMillis: number;
+  readonly cpuMillis: number;
   /** Part of it in the process's own code, not in the kernel for it. */
-  readonly ownMillis: number;
+  readonly userCpuMillis: number;
   /** Times that it was woken after it had waited. */
-  readonly wakesCount: number;
+  readonly wakeupsCount: number;
 }
 
 /** A running node. */
 export interface NodeProcess {
   readonly address: string;
   cost(): ProcessCost;
-  end(): void;
+  stop(): void;
   /** Ends it without a word. */
   kill(): void;
 }
@@ -75,7 +75,7 @@
   return {
     address,
     cost: () => readCost(child),
-    end: () => {
+    stop: () => {
       child.kill('SIGTERM');
     },
     kill: () => {
@@ -109,19 +109,19 @@
 /** Sums over all threads: those of the runtime compile and collect garbage. */
 function readCost({pid}: ChildProcess): ProcessCost {
   const tasks = `/proc/${String(pid)}/task`;
-  let processorMillis = 0;
-  let wakesCount = 0;
+  let cpuMillis = 0;
+  let wakeupsCount = 0;
   for (const task of readdirSync(tasks)) {
     const [nanos = '0'] = readFileSync(
       join(tasks, task, 'schedstat'),
       'utf8',
     ).split(' ');
-    processorMillis += Number(nanos) / NANOS_PER_MILLI;
+    cpuMillis += Number(nanos) / NANOS_PER_MILLI;
     const status = readFileSync(join(tasks, task, 'status'), 'utf8');
     const waits = /^voluntary_ctxt_switches:\s*(\d+)/m.exec(status)?.[1];
-    wakesCount += Number(waits ?? 0);
+    wakeupsCount += Number(waits ?? 0);
   }
-  return {processorMillis, ownMillis: readOwnMillis(pid), wakesCount};
+  return {cpuMillis, userCpuMillis: readOwnMillis(pid), wakeupsCount};
 }
 
 /** The kernel tells it in ticks of 10 ms. */
--- a/test/fakes/platform_fleet.ts
+++ b/test/fakes/platform_fleet.ts
@@ -11,23 +11,23 @@
 import type {NodeMetrics} from '../../src/process/log/node_metrics.js';
 import {createNodeMetrics} from '../../src/process/log/node_metrics.js';
 import type {NodeSettings} from '../../src/process/settings/node_settings.js';
-import type {ClientAnswer, ClientRequest} from './fleet_client.js';
+import type {ClientResponse, ClientRequest} from './fleet_client.js';
 import {FLEET_HOST_NAME, sendRequest} from './fleet_client.js';
 import {freePorts} from './free_ports.js';
-import type {StandInBackend} from './stand_in_backend.js';
-import {startStandInBackend} from './stand_in_backend.js';
-import type {StandInStore, StoreEntrance} from './stand_in_store.js';
-import {createStandInStore} from './stand_in_store.js';
+import type {FakeUpstream} from './fake_upstream.js';
+import {startFakeUpstream} from './fake_upstream.js';
+import type {FakeStore, StoreEndpoint} from './fake_store.js';
+import {createFakeStore} from './fake_store.js';
 import {waitUntil} from './wait_until.js';
 
 /** One host. */
 export interface FleetHost {
   readonly address: string;
   readonly service: string;
-  readonly backend: StandInBackend;
+  readonly upstream: FakeUpstream;
   readonly node: ServiceNode;
   /** Where the node reaches the store; no other host does there. */
-  readonly storeEntrance: StoreEntrance;
+  readonly storeEndpoint: StoreEndpoint;
   readonly events: readonly LoggedEvent[];
   readonly metrics: NodeMetrics;
 }
@@ -40,13 +40,13 @@
 
 /** The fleet. */
 export interface PlatformFleet {
-  readonly store: StandInStore;
+  readonly store: FakeStore;
   readonly hosts: readonly FleetHost[];
   readonly outboundPort: number;
   /** Port of every upstream. */
   readonly appPort: number;
   /** Sends a request to the node of a host, as its clients do. */
-  send(host: FleetHost, request: ClientRequest): Promise<ClientAnswer>;
+  send(host: FleetHost, request: ClientRequest): Promise<ClientResponse>;
   /**
    * Publishes a configuration with the given routes as the next version; it
    * names the services of all hosts, and the organisations of `fields`.
@@ -63,7 +63,7 @@
   /** Organisations as operators write them; the field is left out without any. */
   readonly tenants?: readonly object[];
   /** Services that it names, if not those of all hosts. */
-  readonly namedServices?: readonly string[];
+  readonly declaredServices?: readonly string[];
   /** Version to publish instead of the next one. */
   readonly version?: number;
 }
@@ -86,7 +86,7 @@
   /** Routes of the first version; none is published if left out. */
   readonly paths?: readonly object[];
   /** Services that the first version names, if not those of all hosts. */
-  readonly namedServices?: readonly string[];
+  readonly declaredServices?: readonly string[];
   /** Organisations of the first version. */
   readonly tenants?: readonly object[];
   readonly slots?: number;
@@ -100,7 +100,7 @@
 export const RETRY_RATIO = 0.2;
 
 /** A route as operators write it. */
-export function fleetPath(fields: object = {}): object {
+export function createPath(fields: object = {}): object {
   return {
     name: 'r-1',
     prefix: '/a/',
@@ -115,10 +115,10 @@
 }
 
 /** The usual route for requests that may run more than once. */
-export const SAFE_PATH = fleetPath();
+export const SAFE_PATH = createPath();
 
 /** The usual route for requests that may run once at most. */
-export const ORDER_PATH = fleetPath({
+export const ORDER_PATH = createPath({
   name: 'r-2',
   prefix: '/order/',
   kind: 'unsafe',
@@ -143,7 +143,7 @@
 ): Promise<PlatformFleet> {
   fleetsCount += 1;
   const block = `127.${String(process.pid % 200)}.${String(fleetsCount)}`;
-  const store = createStandInStore();
+  const store = createFakeStore();
   const ports = await freePorts(`${block}.1`, 4);
   const [appPort = 0, inboundPort = 0, outboundPort = 0, readyPort = 0] = ports;
   let version = 0;
@@ -168,11 +168,11 @@
     paths: readonly object[],
     fields: ConfigurationFields = {},
   ): void => {
-    const {namedServices = options.services, tenants} = fields;
+    const {declaredServices = options.services, tenants} = fields;
     version = fields.version ?? version + 1;
     store.put('op/config', {
       version: version.toString(16).padStart(8, '0'),
-      services: [...new Set(namedServices)].map(name => ({name})),
+      services: [...new Set(declaredServices)].map(name => ({name})),
       limits: {
         maxHeaderBytes: 16_384,
         maxBodyBytes: 1_000_000,
@@ -185,9 +185,9 @@
   };
 
   if (options.paths !== undefined) {
-    const {namedServices, tenants} = options;
+    const {declaredServices, tenants} = options;
     configure(options.paths, {
-      ...(namedServices === undefined ? {} : {namedServices}),
+      ...(declaredServices === undefined ? {} : {declaredServices}),
       ...(tenants === undefined ? {} : {tenants}),
     });
   }
@@ -195,9 +195,9 @@
   for (const [index, service] of options.services.entries()) {
     const address = `${block}.${String(index + 1)}`;
     const id = `i-${String(index + 1)}`;
-    const backend = await startStandInBackend({id, address, port: appPort});
+    const upstream = await startFakeUpstream({id, address, port: appPort});
     publishEntry(id, service, address, {});
-    const storeEntrance = await store.openEntrance();
+    const storeEndpoint = await store.openEndpoint();
     const settings = createSettings({
       address,
       service,
@@ -205,7 +205,7 @@
       inboundPort,
       outboundPort,
       readyPort,
-      storePort: storeEntrance.port,
+      storePort: storeEndpoint.port,
       slackCount: options.slackCount ?? 200,
       // Leaves no time in which changes gather: most tests publish one by one.
       applyWithinMillis: options.applyWithinMillis ?? 0,
@@ -227,9 +227,9 @@
     hosts.push({
       address,
       service,
-      backend,
+      upstream,
       node,
-      storeEntrance,
+      storeEndpoint,
       events,
       metrics,
     });
@@ -245,13 +245,13 @@
     configure,
     send: (host, request) => sendRequest(host.address, outboundPort, request),
     publish: (host, fields = {}) => {
-      publishEntry(host.backend.id, host.service, host.address, fields);
+      publishEntry(host.upstream.id, host.service, host.address, fields);
     },
     withdraw: host => {
-      store.remove(`servers/${host.backend.id}`);
+      store.remove(`servers/${host.upstream.id}`);
     },
     close: async () => {
-      await Promise.all(hosts.map(host => host.backend.close()));
+      await Promise.all(hosts.map(host => host.upstream.close()));
       for (const host of hosts) host.node.dispose();
       store.close();
     },
--- a/test/fakes/process_fleet.ts
+++ b/test/fakes/process_fleet.ts
@@ -6,16 +6,16 @@
 import {tmpdir} from 'node:os';
 import {join, resolve} from 'node:path';
 import type {ExecutionContext} from 'ava';
-import type {ClientAnswer, ClientRequest} from './fleet_client.js';
+import type {ClientResponse, ClientRequest} from './fleet_client.js';
 import {FLEET_HOST_NAME, sendRequest} from './fleet_client.js';
 import {freePorts} from './free_ports.js';
 import type {NodeProcess} from './node_process.js';
 import {startNodeProcess} from './node_process.js';
 import {SAFE_PATH} from './platform_fleet.js';
-import type {StandInBackend} from './stand_in_backend.js';
-import {startStandInBackend} from './stand_in_backend.js';
-import type {StandInStore, StoreEntrance} from './stand_in_store.js';
-import {createStandInStore} from './stand_in_store.js';
+import type {FakeUpstream} from './fake_upstream.js';
+import {startFakeUpstream} from './fake_upstream.js';
+import type {FakeStore, StoreEndpoint} from './fake_store.js';
+import {createFakeStore} from './fake_store.js';
 import {waitUntil} from './wait_until.js';
 
 const PROGRAM = resolve('dist/platform/main.js');
@@ -28,8 +28,8 @@
 /** One host with its process, which may start again. */
 export interface ProcessHost {
   readonly address: string;
-  readonly backend: StandInBackend;
-  readonly entrance: StoreEntrance;
+  readonly upstream: FakeUpstream;
+  readonly storeEndpoint: StoreEndpoint;
   /** Lines of the process that runs now. */
   lines: Line[];
   process: NodeProcess;
@@ -46,13 +46,13 @@
 
 /** The fleet. */
 export interface ProcessFleet {
-  readonly store: StandInStore;
+  readonly store: FakeStore;
   readonly hosts: readonly ProcessHost[];
   configure(version: number): void;
   publish(index: number, entry: PublishedEntry): void;
   /** Kills a node and starts it again. */
   restart(index: number): void;
-  send(index: number, request: ClientRequest): Promise<ClientAnswer>;
+  send(index: number, request: ClientRequest): Promise<ClientResponse>;
 }
 
 /** Fleets of one test process use address blocks of their own. */
@@ -61,24 +61,24 @@
 let fleetsCount = 0;
 
 /** Versions that the process that runs now has brought into force. */
-export function versionsOf({lines}: ProcessHost): readonly unknown[] {
+export function activeVersions({lines}: ProcessHost): readonly unknown[] {
   return lines
     .filter(({event}) => event === 'configuration-accepted')
     .map(line => line['configurationVersion']);
 }
 
 /** Waits until all hosts have brought a version into force. */
-export async function untilInForce(
+export async function waitForVersion(
   hosts: readonly ProcessHost[],
   version: number,
 ): Promise<void> {
   await waitUntil(`version ${String(version)}`, () =>
-    hosts.every(host => versionsOf(host).includes(version)),
+    hosts.every(host => activeVersions(host).includes(version)),
   );
 }
 
 /** Waits until all hosts know all upstreams. */
-export async function untilAllListed(
+export async function waitForAllUpstreams(
   hosts: readonly ProcessHost[],
 ): Promise<void> {
   await waitUntil('all listed', () =>
@@ -97,7 +97,7 @@
 ): Promise<ProcessFleet> {
   const block = `127.${String(process.pid % 200)}.${String(FIRST_BLOCK + fleetsCount)}`;
   fleetsCount += 1;
-  const store = createStandInStore();
+  const store = createFakeStore();
   const directory = mkdtempSync(join(tmpdir(), 'nodes-'));
   const [app = 0, inbound = 0, outbound = 0, ready = 0] = await freePorts(
     `${block}.1`,
@@ -107,7 +107,7 @@
   t.teardown(async () => {
     for (const host of hosts) {
       host.process.kill();
-      await host.backend.close();
+      await host.upstream.close();
     }
     store.close();
     rmSync(directory, {recursive: true, force: true});
@@ -142,14 +142,14 @@
       status: {state, seq, coldLeftS: 0},
     });
   };
-  const start = (index: number, entrance: StoreEntrance, lines: Line[]) =>
+  const start = (index: number, storeEndpoint: StoreEndpoint, lines: Line[]) =>
     startNodeProcess({
       programPath: PROGRAM,
       runtimeFlags: [],
       directory,
       address: `${block}.${String(index + 1)}`,
       service: services[index] ?? '',
-      ports: {app, inbound, outbound, ready, store: entrance.port},
+      ports: {app, inbound, outbound, ready, store: storeEndpoint.port},
       onLine: line => lines.push(line),
     });
 
@@ -157,12 +157,12 @@
   for (const index of services.keys()) {
     const address = `${block}.${String(index + 1)}`;
     const id = `i-${String(index)}`;
-    const backend = await startStandInBackend({id, address, port: app});
+    const upstream = await startFakeUpstream({id, address, port: app});
     publish(index, {seq: 1});
-    const entrance = await store.openEntrance();
+    const storeEndpoint = await store.openEndpoint();
     const lines: Line[] = [];
-    const process = start(index, entrance, lines);
-    hosts.push({address, backend, entrance, lines, process});
+    const process = start(index, storeEndpoint, lines);
+    hosts.push({address, upstream, storeEndpoint, lines, process});
   }
   return {
     store,
@@ -174,7 +174,7 @@
       if (host === undefined) return;
       host.process.kill();
       host.lines = [];
-      host.process = start(index, host.entrance, host.lines);
+      host.process = start(index, host.storeEndpoint, host.lines);
     },
     send: (index, request) =>
       sendRequest(hosts[index]?.address ?? '', outbound, request),
--- a/test/fakes/quota_scenarios.ts
+++ b/test/fakes/quota_scenarios.ts
@@ -1,16 +1,16 @@
 /**
  * What may happen to a fleet that keeps a quota.
  */
-import type {QuotaScenario} from './quota_replay.js';
+import type {QuotaScenario} from './quota_simulation.js';
 
 /** What a scenario adds to a fleet and its rate. */
-export type ScenarioParts = Omit<
+export type ScenarioOptions = Omit<
   QuotaScenario,
-  'nodesCount' | 'ratePerSecond' | 'seed' | 'lastsMillis'
+  'nodesCount' | 'ratePerSecond' | 'seed' | 'durationMillis'
 >;
 
 /** Time that a scenario takes. */
-export const SCENARIO_MILLIS = 12_000;
+export const SCENARIO_DURATION_MILLIS = 12_000;
 
 /** Usual requests of an organisation, in relation to its rate. */
 const USUAL_RATIO = 1 / 1.6;
@@ -43,7 +43,7 @@
 export const QUOTA_SCENARIOS = {
   usual: {offeredRatio: usually},
   'surge at all nodes': {offeredRatio: surge(10)},
-  'surge at one node': {offeredRatio: surge(10), entryOf: () => 5},
+  'surge at one node': {offeredRatio: surge(10), chooseEntryIndex: () => 5},
   'surge just to the limit': {offeredRatio: surge(1.6)},
   'one zone cut off': {offeredRatio: usually, isConnected: inTwoParts},
   'surge with one zone cut off': {
@@ -71,7 +71,7 @@
     offeredRatio: usually,
     quotaRatio: (millis: number) => (millis > 5000 ? 0.15 : 1),
   },
-} satisfies Readonly<Record<string, ScenarioParts>>;
+} satisfies Readonly<Record<string, ScenarioOptions>>;
 
 /** Name of a scenario. */
 export type ScenarioName = keyof typeof QUOTA_SCENARIOS;
--- a/test/fakes/quota_replay.ts
+++ b/test/fakes/quota_simulation.ts
@@ -19,19 +19,19 @@
 }
 
 /** What a node is made of. */
-export interface QuotaNodeParts {
+export interface QuotaNodeOptions {
   readonly index: number;
   readonly fleet: QuotaFleet;
   /** Rises with each start of the node. */
   readonly startsCount: number;
   readonly nowMillis: () => number;
   readonly random: () => number;
-  readonly send: (index: number, message: string) => Promise<MessageEnd>;
+  readonly send: (index: number, message: string) => Promise<MessageResult>;
 }
 
 /** What came of a message. */
-export type MessageEnd =
-  | {readonly kind: 'answered'; readonly answer: string}
+export type MessageResult =
+  | {readonly kind: 'answered'; readonly response: string}
   | {readonly kind: 'silent'}
   | {readonly kind: 'closed'};
 
@@ -45,18 +45,18 @@
 }
 
 /** A way of keeping quotas. */
-export type QuotaWay = (parts: QuotaNodeParts) => QuotaNode;
+export type QuotaStrategy = (parts: QuotaNodeOptions) => QuotaNode;
 
 /** What happens to a fleet. */
 export interface QuotaScenario {
   readonly nodesCount: number;
   readonly ratePerSecond: number;
   readonly seed: number;
-  readonly lastsMillis: number;
+  readonly durationMillis: number;
   /** Requests offered in relation to the rate of the quota, at a time. */
   readonly offeredRatio: (millis: number) => number;
   /** Node that a request enters at; any, if left out. */
-  readonly entryOf?: (random: () => number) => number;
+  readonly chooseEntryIndex?: (random: () => number) => number;
   /** Whether messages pass between two zones, at a time. */
   readonly isConnected?: (from: number, to: number, millis: number) => boolean;
   /** Part of the nodes that is killed at a time, and back half a second later. */
@@ -70,7 +70,7 @@
 }
 
 /** What came of it. */
-export interface QuotaOutcome {
+export interface QuotaResult {
   /** Most requests that ran in any window, against what is tolerated. */
   readonly worstRatio: number;
   /** What ran, against what a single bucket would have let run. */
@@ -102,11 +102,11 @@
 }
 
 /** Plays a scenario. */
-export async function replayQuota(
-  way: QuotaWay,
+export async function simulateQuota(
+  way: QuotaStrategy,
   scenario: QuotaScenario,
-): Promise<QuotaOutcome> {
-  const {nodesCount, ratePerSecond, lastsMillis} = scenario;
+): Promise<QuotaResult> {
+  const {nodesCount, ratePerSecond, durationMillis} = scenario;
   const random = createSeededRandom(scenario.seed);
   const clock = createEventClock();
   const quotaRatio = scenario.quotaRatio ?? (() => 1);
@@ -136,16 +136,16 @@
     from: number,
     to: number,
     message: string,
-  ): Promise<MessageEnd> => {
+  ): Promise<MessageResult> => {
     messagesCount += 1;
     bytesCount += message.length;
     const now = clock.nowMillis();
     return new Promise(resolve => {
       const endAfter = (
         millis: number,
-        kind: Exclude<MessageEnd['kind'], 'answered'>,
+        kind: Exclude<MessageResult['kind'], 'answered'>,
       ): void => {
-        clock.after(millis, () => {
+        clock.schedule(millis, () => {
           resolve({kind});
         });
       };
@@ -161,12 +161,12 @@
       }
       const waitMillis = Math.max(0, (pausedUntil[to] ?? 0) - now);
       if (waitMillis > SILENT_MILLIS) endAfter(SILENT_MILLIS, 'silent');
-      clock.after(waitMillis + ONE_WAY_MILLIS, () => {
-        const answer = nodes[to]?.receive(message) ?? '';
+      clock.schedule(waitMillis + ONE_WAY_MILLIS, () => {
+        const response = nodes[to]?.receive(message) ?? '';
         messagesCount += 1;
-        bytesCount += answer.length;
-        clock.after(ONE_WAY_MILLIS, () => {
-          resolve({kind: 'answered', answer});
+        bytesCount += response.length;
+        clock.schedule(ONE_WAY_MILLIS, () => {
+          resolve({kind: 'answered', response});
         });
       });
     });
@@ -197,7 +197,7 @@
 
   const offer = async (): Promise<void> => {
     const chosen =
-      scenario.entryOf?.(random) ?? Math.floor(random() * nodesCount);
+      scenario.chooseEntryIndex?.(random) ?? Math.floor(random() * nodesCount);
     const index = isUp(chosen) ? chosen : nextUp(chosen, nodesCount, isUp);
     if (!isUp(index)) return;
     const isUrgent = random() < 0.5;
@@ -213,7 +213,7 @@
   };
 
   let nextTick = 0;
-  for (let now = 0; now < lastsMillis; now += STEP_MILLIS) {
+  for (let now = 0; now < durationMillis; now += STEP_MILLIS) {
     clock.runUntil(now);
     if (scenario.killed?.atMillis === now) {
       for (let index = 0; index < nodesCount; index += 1) {
@@ -229,7 +229,7 @@
       nextTick += TICK_MILLIS;
       for (const [index, node] of nodes.entries()) {
         if (!isUp(index)) continue;
-        clock.after(random() * TICK_MILLIS, () => {
+        clock.schedule(random() * TICK_MILLIS, () => {
           if (nodes[index] === node) node.tick();
         });
       }
@@ -247,8 +247,8 @@
     servedRatio: ranMillis.length / idealCount(offeredMillis, bucketAt),
     urgentRatio: (ran[0] ?? 0) / Math.max(1, offered[0] ?? 0),
     otherRatio: (ran[1] ?? 0) / Math.max(1, offered[1] ?? 0),
-    messagesPerSecond: (messagesCount * 1000) / lastsMillis / nodesCount,
-    bytesPerSecond: (bytesCount * 1000) / lastsMillis / nodesCount,
+    messagesPerSecond: (messagesCount * 1000) / durationMillis / nodesCount,
+    bytesPerSecond: (bytesCount * 1000) / durationMillis / nodesCount,
   };
 }
 
--- a/test/fakes/quota_ways.ts
+++ b/test/fakes/quota_strategies.ts
@@ -17,15 +17,15 @@
   encodeQuotaAllowances,
   encodeQuotaReport,
 } from '../../src/protocol/quota_codec.js';
-import type {QuotaNodeParts, QuotaWay} from './quota_replay.js';
-import {zoneOf} from './quota_replay.js';
+import type {QuotaNodeOptions, QuotaStrategy} from './quota_simulation.js';
+import {zoneOf} from './quota_simulation.js';
 
 interface ReplayedHost extends ZonedHost {
   readonly index: number;
 }
 
 /** Counts reported to a coordinator, which tells what share to admit. */
-export const coordinated: QuotaWay = parts => {
+export const coordinatedCounts: QuotaStrategy = parts => {
   const {index, fleet, nowMillis, random} = parts;
   const {bound, clock} = fleet;
   const hosts: readonly ReplayedHost[] = hostsOf(fleet.nodesCount);
@@ -62,13 +62,13 @@
       const message = encodeQuotaReport(report).toString('latin1');
       const end = await parts.send(host.index, message);
       if (end.kind !== 'answered') return end;
-      const answer = Buffer.from(end.answer, 'latin1');
+      const answer = Buffer.from(end.response, 'latin1');
       const allowances = decodeQuotaAllowances(answer) ?? [];
       return {kind: 'answered', allowances};
     },
     waitTimeout: () =>
       new Promise(resolve => {
-        clock.after(MAX_WAIT_MILLIS, resolve);
+        clock.schedule(MAX_WAIT_MILLIS, resolve);
       }),
   });
   return {
@@ -102,7 +102,7 @@
 }
 
 /** An equal share of the quota for each node, without messages. */
-export const evenShares: QuotaWay = ({fleet, nowMillis}) => {
+export const evenShares: QuotaStrategy = ({fleet, nowMillis}) => {
   const bucket = createBucket(nowMillis, () => {
     const {ratePerSecond, burstCount} = fleet.organisation().quota!;
     const {nodesCount} = fleet;
@@ -126,7 +126,7 @@
 const FANOUT_COUNT = 3;
 
 /** Counts of all nodes by slot, which nodes tell each other. */
-export const exchangedCounts: QuotaWay = parts => {
+export const exchangedCounts: QuotaStrategy = parts => {
   const {index, fleet, random} = parts;
   /** Counts by node and slot; they only grow, so the larger is the later. */
   const counts = new Map<string, number>();
@@ -178,7 +178,7 @@
 const LEASE_MILLIS = 1000;
 
 /** Tokens that a coordinator hands out ahead of need. */
-export const leasedTokens: QuotaWay = parts => {
+export const leasedTokens: QuotaStrategy = parts => {
   const {fleet, nowMillis, index} = parts;
   const bucket = createBucket(nowMillis, () => fleet.organisation().quota!);
   let tokens = 0;
@@ -223,13 +223,13 @@
 
 /** The first node that answers, in the order of their positions. */
 async function askCoordinator(
-  parts: QuotaNodeParts,
+  parts: QuotaNodeOptions,
   ownIndex: number,
 ): Promise<string | undefined> {
   for (let index = 0; index < 3; index += 1) {
     if (index === ownIndex) continue;
     const end = await parts.send(index, 'lease');
-    if (end.kind === 'answered') return end.answer;
+    if (end.kind === 'answered') return end.response;
   }
   return undefined;
 }
--- a/test/fakes/raw_client.ts
+++ b/test/fakes/raw_client.ts
@@ -15,7 +15,7 @@
   readonly statusCodes: readonly number[];
   readonly isClosed: boolean;
   /** Writes a request without a body, with further header lines if given. */
-  ask(attemptId: string, path: string, lines?: readonly string[]): void;
+  sendRequest(attemptId: string, path: string, lines?: readonly string[]): void;
 }
 
 /** Connects; closes with the test. */
@@ -48,7 +48,7 @@
     get isClosed() {
       return isClosed;
     },
-    ask: (attemptId, path, lines = []) => {
+    sendRequest: (attemptId, path, lines = []) => {
       const head = [
         `GET ${path} HTTP/1.1`,
         `host: ${FLEET_HOST_NAME}`,
--- a/test/fakes/read_requests.ts
+++ b/test/fakes/received_requests.ts
@@ -6,7 +6,7 @@
 import type {ExecutionContext} from 'ava';
 
 /** Records requests as their headers are read, until the test ends. */
-export function recordReadRequests(
+export function recordReceivedRequests(
   t: ExecutionContext,
 ): readonly IncomingMessage[] {
   const requests: IncomingMessage[] = [];
--- a/test/fakes/relay_fleet.ts
+++ b/test/fakes/relay_fleet.ts
@@ -16,8 +16,8 @@
 import {createDocumentCache} from '../../src/process/membership/document_cache.js';
 import type {KnownUpstream} from '../../src/process/membership/known_upstream.js';
 import {createWatcherSelection} from '../../src/process/membership/watcher_selection.js';
-import {createReplayedSource} from './replayed_source.js';
-import type {ReplayedSource} from './replayed_source.js';
+import {createSimulatedSource} from './simulated_source.js';
+import type {SimulatedSource} from './simulated_source.js';
 import {upstreamEntry} from './route_documents.js';
 
 /** A node of the fleet. */
@@ -25,12 +25,12 @@
   readonly hostKey: string;
   readonly zone: string;
   /** Where it reaches the source; other nodes are elsewhere. */
-  readonly source: ReplayedSource;
-  readonly known: SourcePosition;
+  readonly source: SimulatedSource;
+  readonly appliedPosition: SourcePosition;
   /** Texts it knows, by key. */
   readonly texts: ReadonlyMap<string, string>;
   /** Other nodes do not reach it, nor does it reach them. */
-  isCutOff: boolean;
+  isPartitioned: boolean;
 }
 
 /** What a fleet is made of. */
@@ -53,7 +53,7 @@
   change(key: string): number;
   compact(): void;
   /** The source comes back from what it holds now, later. */
-  copy(): () => void;
+  takeSnapshot(): () => void;
   /** Moves on; `act` is called at every step. */
   run(millis: number, act?: (atMillis: number) => void): Effect.Effect<void>;
 }
@@ -66,7 +66,7 @@
 }
 
 /** Plays a fleet from its start to the end of the given program. */
-export function playRelayFleet(
+export function simulateRelayFleet(
   options: RelayFleetOptions,
   play: (fleet: RelayFleet) => Effect.Effect<void>,
 ): Promise<void> {
@@ -108,7 +108,7 @@
     });
 
   const followers = hosts.map(({entry}) => {
-    const source = createReplayedSource(nowMillis);
+    const source = createSimulatedSource(nowMillis);
     const positions = createPeerPositions();
     const texts = new Map<string, string>();
     const relay = createPeerRelay({
@@ -121,7 +121,7 @@
       documents: createDocumentCache(),
       send: async (target, question) => {
         const asked = nodes.find(({hostKey}) => hostKey === target.hostKey);
-        if (asked === undefined || asked.isCutOff || node.isCutOff) {
+        if (asked === undefined || asked.isPartitioned || node.isPartitioned) {
           return silence();
         }
         return asked.relay.answerQuery(question);
@@ -131,11 +131,11 @@
       hostKey: entry.hostKey,
       zone: entry.zone,
       source,
-      get known() {
+      get appliedPosition() {
         return positions.applied;
       },
       texts,
-      isCutOff: false,
+      isPartitioned: false,
       relay,
       positions,
     };
@@ -177,7 +177,8 @@
     for (const node of nodes) {
       if (random() >= chance) continue;
       const other = nodes[Math.floor(random() * nodes.length)];
-      if (other === undefined || other.isCutOff || node.isCutOff) continue;
+      if (other === undefined || other.isPartitioned || node.isPartitioned)
+        continue;
       node.positions.recordPeerPosition(other.positions.applied);
       other.positions.recordPeerPosition(node.positions.applied);
     }
@@ -206,9 +207,9 @@
     compact: () => {
       for (const {source} of nodes) source.compact();
     },
-    copy: () => {
+    takeSnapshot: () => {
       const restores = nodes.map(({source}) => {
-        const copy = source.copy();
+        const copy = source.takeSnapshot();
         return () => {
           source.restore(copy);
         };
--- a/test/fakes/replay_calls.ts
+++ b/test/fakes/simulated_calls.ts
@@ -2,16 +2,16 @@
  * Requests on their way through a replayed fleet.
  */
 import type {RetryGrant} from '../../src/process/retries/retry_grant.js';
-import type {ReplayRoute, ServiceOutcome} from './fleet_load.js';
+import type {SimulatedRoute, ServiceCounts} from './fleet_load.js';
 
 /** What a node tells about a request before its upstream works on it. */
-export type Verdict = 'started' | 'rejected' | 'queue-full' | 'too-late';
+export type StartResult = 'started' | 'rejected' | 'queue-full' | 'too-late';
 
 /** How a call ended. */
-export type CallEnd = 'served' | 'refused' | 'failed';
+export type CallResult = 'served' | 'refused' | 'failed';
 
 /** A request of a client, shared by all calls made for it. */
-export interface Root {
+export interface RootRequest {
   readonly id: string;
   readonly importance: number;
   readonly beganAtMillis: number;
@@ -21,23 +21,23 @@
 
 /** Work of one upstream for a request. */
 export interface Run {
-  readonly second: ServiceOutcome;
+  readonly second: ServiceCounts;
   isServed: boolean;
 }
 
 /** A request for one upstream, for a client or another upstream. */
 export interface Call {
-  readonly root: Root;
-  readonly route: ReplayRoute;
+  readonly root: RootRequest;
+  readonly route: SimulatedRoute;
   readonly deadlineMillis: number;
   readonly startByMillis: number;
   /** What its like usually takes, as its sender knows. */
   readonly usualMillis?: number | undefined;
-  readonly onEnd: (end: CallEnd, calls: ReadonlyMap<string, number>) => void;
+  readonly onEnd: (end: CallResult, calls: ReadonlyMap<string, number>) => void;
 }
 
 /** Counts the work done for a request that was served. */
-export function creditRuns(root: Root): void {
+export function countUsefulRuns(root: RootRequest): void {
   for (const {second, isServed} of root.runs) {
     if (isServed) second.usefulCount += 1;
   }
--- a/test/fakes/replay_node.ts
+++ b/test/fakes/simulated_node.ts
@@ -35,11 +35,11 @@
 import type {UpstreamEntry} from '../../src/process/membership/upstream_entry.js';
 import type {UpstreamQueue} from '../../src/process/admission/upstream_queue.js';
 import {createUpstreamQueue} from '../../src/process/admission/upstream_queue.js';
-import type {ReplayService} from './fleet_load.js';
+import type {SimulatedService} from './fleet_load.js';
 import {upstreamEntry} from './route_documents.js';
 
 /** What a node is made of. */
-interface ReplayNodeOptions {
+interface SimulatedNodeOptions {
   readonly own: UpstreamEntry;
   /** Work that its upstream does in a millisecond. */
   readonly speed: number;
@@ -53,11 +53,11 @@
 }
 
 /** A node and its upstream. */
-export interface ReplayNode {
+export interface SimulatedNode {
   readonly own: UpstreamEntry;
   readonly speed: number;
   /** Share of what its upstream is handed now that it rejects. */
-  rejectRatioNow(): number;
+  currentRejectRatio(): number;
   readonly budget: RetryBudget;
   readonly queue: UpstreamQueue;
   readonly level: AdmissionLevel;
@@ -72,7 +72,7 @@
   /** Load of the own upstream, which is put on the board as well. */
   ownLoad(): LoadReport;
   /** Ends a window of the level. */
-  moveLevel(): void;
+  updateLevel(): void;
   /** Loads that an answer to this sender reports. */
   loadsFor(senderId: string): readonly LoadReport[];
   /** Loads that a node is told which asks for them. */
@@ -87,7 +87,7 @@
 const RETRY_BOUND = {ratio: 0.2, windowMillis: 10_000, slackCount: 50};
 
 /** Creates a node that knows of all upstreams and nothing else. */
-function createReplayNode(options: ReplayNodeOptions): ReplayNode {
+function createSimulatedNode(options: SimulatedNodeOptions): SimulatedNode {
   const {own, speed, rejectRatio, entries, nowMillis, random} = options;
   const queue = createUpstreamQueue(nowMillis);
   queue.setSlots(own.slotsCount);
@@ -137,7 +137,7 @@
     loadTable.observe(report);
     return report;
   };
-  const moveLevel = (): void => {
+  const updateLevel = (): void => {
     ownLoad();
     const service = loadTable.serviceLoadOf(own.service);
     level.update({
@@ -163,7 +163,7 @@
   return {
     own,
     speed,
-    rejectRatioNow: () =>
+    currentRejectRatio: () =>
       nowMillis() < options.rejectFromMillis ? 0 : rejectRatio,
     budget,
     queue,
@@ -181,17 +181,17 @@
     }),
     placement,
     ownLoad,
-    moveLevel,
+    updateLevel,
     loadsFor,
     loads,
   };
 }
 
 /** Creates the nodes of a fleet, one beside each upstream. */
-export function createReplayNodes(
-  services: readonly ReplayService[],
-  clock: Pick<ReplayNodeOptions, 'nowMillis' | 'random'>,
-): readonly ReplayNode[] {
+export function createSimulatedNodes(
+  services: readonly SimulatedService[],
+  clock: Pick<SimulatedNodeOptions, 'nowMillis' | 'random'>,
+): readonly SimulatedNode[] {
   const entries = entriesOf(services);
   const speeds = services.flatMap(service => service.speeds);
   const rejectRatios = services.flatMap(service =>
@@ -201,7 +201,7 @@
     service.speeds.map(() => service.rejectFromMillis ?? 0),
   );
   return entries.map((own, index) =>
-    createReplayNode({
+    createSimulatedNode({
       own,
       speed: speeds[index] ?? 1,
       rejectRatio: rejectRatios[index] ?? 0,
@@ -212,7 +212,7 @@
   );
 }
 
-function entriesOf(services: readonly ReplayService[]): UpstreamEntry[] {
+function entriesOf(services: readonly SimulatedService[]): UpstreamEntry[] {
   return services.flatMap(({name, slotsCount, speeds}, service) =>
     speeds.map((_, index) =>
       upstreamEntry({
--- a/test/fakes/published_world.ts
+++ b/test/fakes/simulated_publishers.ts
@@ -2,10 +2,10 @@
  * Upstreams and an operator that publish to a replayed source, the platform that
  * drops the entries of those that are silent, and drills of the source.
  */
-import type {ReplayedSource, SourceCopy} from './replayed_source.js';
+import type {SimulatedSource, SourceSnapshot} from './simulated_source.js';
 
 /** What happens next in a world. */
-export interface WorldAct {
+export interface PublisherAction {
   readonly kind:
     | 'write'
     | 'drain'
@@ -21,14 +21,14 @@
   /** Upstream that it happens to. */
   readonly upstreamIndex: number;
   /** Acts since the copy was made. */
-  readonly ageCount: number;
-  readonly lastsMillis: number;
+  readonly snapshotAgeCount: number;
+  readonly durationMillis: number;
   /** Time until the next act. */
   readonly pauseMillis: number;
 }
 
 /** An upstream as it is, whatever is known of it. */
-export interface WorldUpstream {
+export interface SimulatedUpstream {
   readonly id: string;
   readonly bornMillis: number;
   readonly sequenceNumber: number;
@@ -37,11 +37,11 @@
 }
 
 /** The world. */
-export interface PublishedWorld {
-  act(act: WorldAct, nowMillis: number): void;
+export interface SimulatedPublishers {
+  apply(act: PublisherAction, nowMillis: number): void;
   /** Does what is due. */
   tick(nowMillis: number): void;
-  readonly upstreams: readonly WorldUpstream[];
+  readonly upstreams: readonly SimulatedUpstream[];
   readonly version: number;
 }
 
@@ -52,26 +52,26 @@
 export const ENTRIES_PREFIX = 'servers/';
 
 /** Interval at which upstreams write their entries. */
-export const WORLD_HEARTBEAT_MILLIS = 1500;
+export const HEARTBEAT_INTERVAL_MILLIS = 1500;
 
 /** Silence after which the platform drops an entry. */
-const LEASE_MILLIS = 3 * WORLD_HEARTBEAT_MILLIS;
+const LEASE_MILLIS = 3 * HEARTBEAT_INTERVAL_MILLIS;
 
 /** Creates a world of so many upstreams that run already. */
-export function createPublishedWorld(
-  source: ReplayedSource,
+export function createSimulatedPublishers(
+  source: SimulatedSource,
   upstreamsCount: number,
   random: () => number,
-): PublishedWorld {
-  const upstreams: WorldUpstream[] = [];
+): SimulatedPublishers {
+  const upstreams: SimulatedUpstream[] = [];
   const rewriteMillis = new Map<string, number>();
   const dropMillis = new Map<string, number>();
-  const copies: SourceCopy[] = [];
+  const copies: SourceSnapshot[] = [];
   let version = 0;
   let publishAgainMillis: number | undefined;
   let cutUntilMillis = 0;
 
-  const write = (upstream: WorldUpstream, index: number): void => {
+  const write = (upstream: SimulatedUpstream, index: number): void => {
     const written = {
       ...upstream,
       sequenceNumber: upstream.sequenceNumber + 1,
@@ -90,25 +90,25 @@
     const copy = copies.at(-1 - ageCount) ?? copies[0];
     if (copy === undefined) return;
     source.restore(copy);
-    publishAgainMillis = nowMillis + random() * WORLD_HEARTBEAT_MILLIS;
+    publishAgainMillis = nowMillis + random() * HEARTBEAT_INTERVAL_MILLIS;
     for (const {id, isAlive} of upstreams) {
       if (isAlive) {
-        rewriteMillis.set(id, nowMillis + random() * WORLD_HEARTBEAT_MILLIS);
+        rewriteMillis.set(id, nowMillis + random() * HEARTBEAT_INTERVAL_MILLIS);
       } else {
         dropMillis.set(id, nowMillis + LEASE_MILLIS);
       }
     }
   };
 
-  const end = (index: number, upstream: WorldUpstream): void => {
+  const end = (index: number, upstream: SimulatedUpstream): void => {
     upstreams[index] = {...upstream, isAlive: false};
     rewriteMillis.delete(upstream.id);
   };
 
   const actOn = (
-    kind: WorldAct['kind'],
+    kind: PublisherAction['kind'],
     index: number,
-    upstream: WorldUpstream,
+    upstream: SimulatedUpstream,
     nowMillis: number,
   ): void => {
     const {id, bornMillis, isAlive} = upstream;
@@ -139,7 +139,10 @@
     get version() {
       return version;
     },
-    act: ({kind, upstreamIndex, ageCount, lastsMillis}, nowMillis) => {
+    apply: (
+      {kind, upstreamIndex, snapshotAgeCount, durationMillis},
+      nowMillis,
+    ) => {
       const index = upstreamIndex % upstreamsCount;
       const upstream = upstreams[index];
       if (upstream !== undefined) actOn(kind, index, upstream, nowMillis);
@@ -148,15 +151,15 @@
         publish();
       }
       if (kind === 'compact') source.compact();
-      if (kind === 'restore') restore(ageCount, nowMillis);
+      if (kind === 'restore') restore(snapshotAgeCount, nowMillis);
       if (kind === 'cut' || kind === 'restore') {
-        cutUntilMillis = nowMillis + lastsMillis;
+        cutUntilMillis = nowMillis + durationMillis;
         source.setState('refusing');
       }
-      copies.push(source.copy());
+      copies.push(source.takeSnapshot());
     },
     tick: nowMillis => {
-      if (nowMillis >= cutUntilMillis) source.setState('well');
+      if (nowMillis >= cutUntilMillis) source.setState('healthy');
       if (publishAgainMillis !== undefined && nowMillis >= publishAgainMillis) {
         publish();
       }
@@ -174,7 +177,7 @@
   };
 }
 
-function freshUpstream(id: string, bornMillis: number): WorldUpstream {
+function freshUpstream(id: string, bornMillis: number): SimulatedUpstream {
   return {
     id,
     bornMillis,
--- a/test/fakes/replayed_source.ts
+++ b/test/fakes/simulated_source.ts
@@ -10,7 +10,7 @@
 } from '../../src/process/membership/document_source.js';
 
 /** The source. */
-export interface ReplayedSource extends DocumentSource {
+export interface SimulatedSource extends DocumentSource {
   /** Calls so far, waiting ones included. */
   readonly callsCount: number;
   /** Revision of the last change. */
@@ -22,25 +22,25 @@
   remove(key: string): void;
   /**
    * Loses the source: calls fail at once, or are not answered. Those under way are
-   * cut, but for `unheard`: they hear nothing either.
+   * cut, but for `stalled`: they hear nothing either.
    */
   setState(state: SourceState): void;
   /** Drops the history before now. */
   compact(): void;
-  copy(): SourceCopy;
+  takeSnapshot(): SourceSnapshot;
   /** Comes back from a copy; waiting calls are cut. */
-  restore(copy: SourceCopy): void;
+  restore(copy: SourceSnapshot): void;
   /** Watches hear nothing, neither news nor that history was lost, until their end. */
-  holdWatches(isHeld: boolean): void;
+  stallWatches(isHeld: boolean): void;
   /** Answers what is due. */
   tick(): void;
 }
 
 /** Whether a source answers. */
-export type SourceState = 'well' | 'refusing' | 'silent' | 'unheard';
+export type SourceState = 'healthy' | 'refusing' | 'silent' | 'stalled';
 
 /** What a source held at one moment. */
-export interface SourceCopy {
+export interface SourceSnapshot {
   readonly documents: ReadonlyMap<string, DocumentChange>;
   readonly history: readonly DocumentChange[];
   readonly oldestRevision: number;
@@ -61,14 +61,16 @@
 }
 
 /** Creates a source without documents. */
-export function createReplayedSource(nowMillis: () => number): ReplayedSource {
+export function createSimulatedSource(
+  nowMillis: () => number,
+): SimulatedSource {
   let documents = new Map<string, DocumentChange>();
   let history: DocumentChange[] = [];
   const waiting = new Set<Waiting>();
   let epoch = 0;
   let revision = 1;
   let oldestRevision = 1;
-  let state: SourceState = 'well';
+  let state: SourceState = 'healthy';
   let callsCount = 0;
   let isHeld = false;
 
@@ -93,7 +95,7 @@
 
   const answer = (call: Waiting): void => {
     const isOver = nowMillis() >= call.untilMillis;
-    if (state === 'unheard' && call.isAnswered) {
+    if (state === 'stalled' && call.isAnswered) {
       if (nowMillis() < call.untilMillis + OVERDUE_MILLIS) return;
       waiting.delete(call);
       call.reject(new Error('no answer'));
@@ -120,7 +122,7 @@
   ): Promise<DocumentBatch | 'history-lost'> => {
     callsCount += 1;
     if (state === 'refusing') return Promise.reject(new Error('refused'));
-    const isAnswered = state === 'well';
+    const isAnswered = state === 'healthy';
     return new Promise((resolve, reject) => {
       const graceMillis = isAnswered ? 0 : OVERDUE_MILLIS;
       const untilMillis = nowMillis() + waitMillis + graceMillis;
@@ -172,14 +174,14 @@
       state = next;
       if (next === 'refusing' || next === 'silent') cutAll();
     },
-    holdWatches: next => {
+    stallWatches: next => {
       isHeld = next;
     },
     compact: () => {
       oldestRevision = revision;
       history = [];
     },
-    copy: () => ({
+    takeSnapshot: () => ({
       documents: new Map(documents),
       history: [...history],
       oldestRevision,
--- a/test/unit/connection/document_follower_load.test.ts
+++ b/test/unit/connection/document_follower_load.test.ts
@@ -6,16 +6,16 @@
 import {createFollowerPacing} from '../../../src/process/membership/follower_pacing.js';
 import type {PeerPositions} from '../../../src/process/membership/peer_positions.js';
 import {createPeerPositions} from '../../../src/process/membership/peer_positions.js';
-import {replayFollower} from '../../fakes/follower_replay.js';
-import type {ReplayedSource} from '../../fakes/replayed_source.js';
-import {createReplayedSource} from '../../fakes/replayed_source.js';
+import {simulateFollower} from '../../fakes/follower_simulation.js';
+import type {SimulatedSource} from '../../fakes/simulated_source.js';
+import {createSimulatedSource} from '../../fakes/simulated_source.js';
 import {createSeededRandom} from '../../fakes/seeded_random.js';
 
 const STEP_MILLIS = 10;
 
 /** Actions on the source at a point of simulated time. */
 type SourceScript = (
-  source: ReplayedSource,
+  source: SimulatedSource,
   atMillis: number,
   peerPositions: PeerPositions,
 ) => void;
@@ -38,9 +38,9 @@
   let worstDelayMillis = 0;
   const reachedMillis: number[] = [];
   const pendingChanges = new Map<number, number>();
-  const source = createReplayedSource(() => clock.millis);
+  const source = createSimulatedSource(() => clock.millis);
   const change = source.change;
-  const trackedSource: ReplayedSource = {
+  const trackedSource: SimulatedSource = {
     ...source,
     change: key => {
       const revision = change(key);
@@ -56,12 +56,12 @@
     }
   };
   const peerPositions = createPeerPositions();
-  await replayFollower({
+  await simulateFollower({
     source,
     clock,
     stepMillis: STEP_MILLIS,
     endMillis: seconds * 1000,
-    act: atMillis => {
+    onStep: atMillis => {
       script(trackedSource, atMillis, peerPositions);
     },
     prefix: '',
@@ -145,7 +145,7 @@
     2000,
     (source, atMillis) => {
       if (atMillis === 1000) source.setState('refusing');
-      if (atMillis === 19_000) source.setState('well');
+      if (atMillis === 19_000) source.setState('healthy');
     },
   );
   t.true(callsPerSecond <= 1.5, `${String(callsPerSecond)} calls per second`);
@@ -159,7 +159,7 @@
 test('the recovery of a silent source is detected in time', async t => {
   const {reachedMillis} = await replay(20, 2000, (source, atMillis) => {
     if (atMillis === 1000) source.setState('silent');
-    if (atMillis === 12_340) source.setState('well');
+    if (atMillis === 12_340) source.setState('healthy');
   });
   const recoveryMillis = (reachedMillis.at(-1) ?? 0) - 12_340;
   t.true(
@@ -191,10 +191,10 @@
     30,
     2000,
     (source, atMillis, peerPositions) => {
-      if (atMillis === 5000) source.holdWatches(true);
+      if (atMillis === 5000) source.stallWatches(true);
       if (atMillis === 8600) source.change('op/config');
       if (atMillis === 8700) source.compact();
-      if (atMillis === 8700) source.holdWatches(false);
+      if (atMillis === 8700) source.stallWatches(false);
       // The other nodes received the change and report it in their messages.
       if (atMillis >= 8700) {
         peerPositions.recordPeerPosition({epoch: 0, revision: 2});
@@ -213,9 +213,9 @@
     (source, atMillis) => {
       if (atMillis === 5000) source.change('servers/1');
       if (atMillis === 5800) source.change('op/config');
-      if (atMillis === 6400) source.holdWatches(true);
+      if (atMillis === 6400) source.stallWatches(true);
       if (atMillis === 6600) source.compact();
-      if (atMillis === 6700) source.holdWatches(false);
+      if (atMillis === 6700) source.stallWatches(false);
     },
   );
   t.true(worstDelayMillis <= 1900, `${String(worstDelayMillis)} ms`);
--- a/test/unit/connection/hop_transport.test.ts
+++ b/test/unit/connection/hop_transport.test.ts
@@ -3,24 +3,24 @@
 import test from 'ava';
 import {ANY_SOURCE} from '../../../src/emulator/faulty_link.js';
 import {
-  answerWith,
+  respondWith,
   createHopFixture,
   MAX_BODY_BYTES,
-  startOf,
+  describeResult,
 } from '../../fakes/hop_fixture.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
 test('concurrent requests get their own responses', async t => {
   const {send} = await createHopFixture(t, async hop => {
     const body = await hop.fetchBody();
-    answerWith(hop, `echo ${String(body)}`);
+    respondWith(hop, `echo ${String(body)}`);
   });
   const names = Array.from({length: 50}, (_, index) => `n${String(index)}`);
   const ends = await Promise.all(
     names.map((name, index) => send(index % 2 === 0, Buffer.from(name)).ended),
   );
   t.deepEqual(
-    ends.map(startOf),
+    ends.map(describeResult),
     names.map(name => `echo ${name}`),
   );
 });
@@ -28,14 +28,14 @@
 test('a long body arrives completely, and one beyond the limit is rejected', async t => {
   const {send} = await createHopFixture(t, async hop => {
     const body = await hop.fetchBody();
-    answerWith(hop, String(body?.length));
+    respondWith(hop, String(body?.length));
   });
   const sizes = [0, 65_536, 65_537, 400_000, MAX_BODY_BYTES + 1];
   for (const isRepeatable of [true, false]) {
     const ends = await Promise.all(
       sizes.map(size => send(isRepeatable, Buffer.alloc(size)).ended),
     );
-    t.deepEqual(ends.map(startOf), [
+    t.deepEqual(ends.map(describeResult), [
       '0',
       '65536',
       '65537',
@@ -53,13 +53,13 @@
     await hop.fetchBody();
     executionsCount += 1;
     await sleep(150);
-    answerWith(hop, 'done');
+    respondWith(hop, 'done');
   });
   const {ended} = send(false);
   await waitUntil('running', () => executionsCount === 1);
   link.setDefaultMode('reset');
   link.setDefaultMode('open');
-  t.is(startOf(await ended), 'done');
+  t.is(describeResult(await ended), 'done');
   t.is(executionsCount, 1);
   t.is(replacedCount(), 1);
 });
@@ -73,13 +73,13 @@
     await hop.fetchBody();
     executionsCount += 1;
     await waitUntil('silent', () => isAnswered);
-    answerWith(hop, 'done');
+    respondWith(hop, 'done');
   });
   const {ended} = send(false);
   await waitUntil('running', () => executionsCount === 1);
   t.true(link.forgetOpenConnections() > 0);
   isAnswered = true;
-  t.is(startOf(await ended), 'done');
+  t.is(describeResult(await ended), 'done');
   t.is(executionsCount, 1);
 });
 
@@ -92,7 +92,7 @@
     await hop.fetchBody();
     executionsCount += 1;
     await new Promise(resolve => hop.cancel.onCancel(() => resolve(0)));
-    answerWith(hop, 'cancelled');
+    respondWith(hop, 'cancelled');
   });
   const {ended} = send(false);
   await waitUntil('running', () => executionsCount === 1);
@@ -110,24 +110,24 @@
   let executionsCount = 0;
   const {send, link} = await createHopFixture(t, hop => {
     executionsCount += 1;
-    answerWith(hop, 'done');
+    respondWith(hop, 'done');
     return Promise.resolve();
   });
-  t.is(startOf(await send(true).ended), 'done');
+  t.is(describeResult(await send(true).ended), 'done');
   link.forgetOpenConnections();
-  t.is(startOf(await send(true).ended), 'not-run silent');
+  t.is(describeResult(await send(true).ended), 'not-run silent');
   t.is(executionsCount, 1);
 });
 
 test('a deferred body is not sent while the request waits', async t => {
   const {send, link} = await createHopFixture(t, async hop => {
     await new Promise(resolve => hop.cancel.onCancel(() => resolve(0)));
-    answerWith(hop, 'cancelled');
+    respondWith(hop, 'cancelled');
   });
   const {ended, cancel} = send(false, Buffer.from('order'));
   await waitUntil('sent', () => link.openConnectionsCount() > 0);
   cancel();
-  t.is(startOf(await ended), 'not-run cancelled');
+  t.is(describeResult(await ended), 'not-run cancelled');
 });
 
 test('cancelling a request cancels the work and keeps the connection', async t => {
@@ -140,15 +140,15 @@
       await new Promise(resolve => hop.cancel.onCancel(() => resolve(0)));
       cancelledCount += 1;
     }
-    answerWith(hop, 'done');
+    respondWith(hop, 'done');
   });
   const {ended, cancel} = send(true);
   await waitUntil('running', () => executionsCount === 1);
   cancel();
-  t.is(startOf(await ended), 'lost cancelled');
+  t.is(describeResult(await ended), 'lost cancelled');
   await waitUntil('cancelled', () => cancelledCount === 1);
   const before = link.openConnectionsCount();
-  t.is(startOf(await send(true).ended), 'done');
+  t.is(describeResult(await send(true).ended), 'done');
   t.is(link.openConnectionsCount(), before);
   t.is(listener.busyCount, 0);
 });
@@ -161,13 +161,13 @@
     executionsCount += 1;
     await new Promise(resolve => hop.cancel.onCancel(() => resolve(0)));
     cancelledCount += 1;
-    answerWith(hop, 'cancelled');
+    respondWith(hop, 'cancelled');
   });
   const {ended, cancel} = send(true);
   await waitUntil('running', () => executionsCount === 1);
   await link.setAccepting(false);
   link.setDefaultMode('reset');
-  t.is(startOf(await ended), 'lost connection-lost');
+  t.is(describeResult(await ended), 'lost connection-lost');
   cancel();
   await waitUntil('cancelled', () => cancelledCount === 1);
 });
@@ -178,16 +178,16 @@
     await hop.fetchBody();
     executionsCount += 1;
     await sleep(1500);
-    answerWith(hop, 'done');
+    respondWith(hop, 'done');
   });
   const read = send(true);
   const order = send(false);
   await waitUntil('running', () => executionsCount === 2);
   link.setMode(ANY_SOURCE, 'silent');
-  t.is(startOf(await read.ended), 'lost silent');
+  t.is(describeResult(await read.ended), 'lost silent');
   link.setMode(ANY_SOURCE, 'open');
   // Neither end saw its connection close, so the order is resumed.
-  t.is(startOf(await order.ended), 'done');
+  t.is(describeResult(await order.ended), 'done');
   t.is(executionsCount, 2);
 });
 
@@ -197,14 +197,14 @@
   let producedCount = 0;
   const {send} = await createHopFixture(t, hop => {
     const rest = Readable.from(produce(), {objectMode: false});
-    answerWith(hop, 'start', rest);
+    respondWith(hop, 'start', rest);
     return Promise.resolve();
   });
   function* produce() {
     for (; producedCount < CHUNKS_COUNT; producedCount += 1) yield CHUNK;
   }
   const end = await send(true).ended;
-  t.is(startOf(end), 'start');
+  t.is(describeResult(end), 'start');
   const rest = end.kind === 'answer' ? end.received?.bodyRest : undefined;
   await sleep(100);
   t.true(producedCount < 10, `${String(producedCount)} chunks unread`);
@@ -216,7 +216,7 @@
 test('an aborted response body fails instead of ending', async t => {
   const {send} = await createHopFixture(t, hop => {
     const rest = new Readable({read: () => undefined});
-    answerWith(hop, 'start', rest);
+    respondWith(hop, 'start', rest);
     rest.push('more');
     setTimeout(() => rest.destroy(), 50);
     return Promise.resolve();
@@ -237,7 +237,7 @@
   // send its response. Only the sender can determine that none is in flight.
   const {send, link, listener} = await createHopFixture(t, async hop => {
     await hop.fetchBody();
-    answerWith(hop, 'done');
+    respondWith(hop, 'done');
   });
   const ends: string[] = [];
   let closed: Promise<void> | undefined;
@@ -247,7 +247,7 @@
       await link.setAccepting(false);
       closed = listener.close();
     }
-    for (const {ended} of sent) ends.push(startOf(await ended));
+    for (const {ended} of sent) ends.push(describeResult(await ended));
     // Idle briefly, so that the close occurs on busy and on idle connections.
     if (round % 2 === 0) await sleep(1);
   }
--- a/test/unit/connection/http_listener.test.ts
+++ b/test/unit/connection/http_listener.test.ts
@@ -3,13 +3,13 @@
 import test from 'ava';
 import type {HttpExchange} from '../../../src/connection/http_listener.js';
 import {openHttpListener} from '../../../src/connection/http_listener.js';
-import {recordReadRequests} from '../../fakes/read_requests.js';
+import {recordReceivedRequests} from '../../fakes/received_requests.js';
 import {waitUntil} from '../../fakes/wait_until.js';
 
 test('requests after the one whose response closes the connection are not handled', async t => {
   // The closing response of a connection waits until earlier responses are sent. A
   // request that is read meanwhile can get no response and must not be forwarded.
-  const readRequests = recordReadRequests(t);
+  const readRequests = recordReceivedRequests(t);
   const exchanges: HttpExchange[] = [];
   const listener = await openHttpListener({
     endpoint: {address: '127.0.0.1', port: 0},
--- a/test/unit/connection/peer_relay_load.test.ts
+++ b/test/unit/connection/peer_relay_load.test.ts
@@ -11,7 +11,7 @@
   RelayFleetOptions,
   RelayNode,
 } from '../../fakes/relay_fleet.js';
-import {playRelayFleet} from '../../fakes/relay_fleet.js';
+import {simulateRelayFleet} from '../../fakes/relay_fleet.js';
 import {createSeededRandom} from '../../fakes/seeded_random.js';
 
 const LARGE: RelayFleetOptions = {
@@ -58,7 +58,8 @@
       lastRevision = revision;
       for (const [changed, sinceMillis] of changedMillis) {
         const isKnown = nodes.every(
-          ({known, isCutOff}) => isCutOff || known.revision >= changed,
+          ({appliedPosition, isPartitioned}) =>
+            isPartitioned || appliedPosition.revision >= changed,
         );
         if (isKnown) {
           changedMillis.delete(changed);
@@ -121,7 +122,7 @@
   test(`${name}: few calls when idle and in a release, and changes arrive in time`, async t => {
     // 718 calls of 31 nodes in 49 s cost more than all requests that were not served,
     // and half of them returned changes that other nodes had already received.
-    await playRelayFleet(options, fleet =>
+    await simulateRelayFleet(options, fleet =>
       Effect.gen(function* () {
         yield* fleet.run(START_MILLIS);
         assertMaxCalls(t, yield* measure(fleet, 20_000, () => undefined), 0.1);
@@ -138,7 +139,7 @@
 }
 
 test('a change arrives in time if nodes exchange no other messages', async t => {
-  await playRelayFleet({...SMALLEST, messagesPerSecond: 0}, fleet =>
+  await simulateRelayFleet({...SMALLEST, messagesPerSecond: 0}, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
       const measured = yield* measure(fleet, 20_000, atMillis => {
@@ -151,13 +152,13 @@
 
 test('a change arrives in time although all watching nodes are lost at once', async t => {
   // Nodes that get no response to their polls watch the source themselves.
-  await playRelayFleet(SMALLEST, fleet =>
+  await simulateRelayFleet(SMALLEST, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
       const watching = yield* findWatchingNodes(fleet);
       t.is(watching.length, 3);
       for (const node of watching) {
-        node.isCutOff = true;
+        node.isPartitioned = true;
         node.source.setState('silent');
       }
       const measured = yield* measure(fleet, 12_000, atMillis => {
@@ -174,7 +175,7 @@
     // published. The watching node of their zone was silently disconnected from the
     // store: its watch was open, it reported that it watched, and its read, made after
     // other nodes reported a later position, took two seconds to fail.
-    await playRelayFleet(SMALLEST, fleet =>
+    await simulateRelayFleet(SMALLEST, fleet =>
       Effect.gen(function* () {
         yield* fleet.run(START_MILLIS);
         const watching = yield* findWatchingNodes(fleet);
@@ -182,7 +183,7 @@
         // After this, all watching nodes batch changes for a while.
         if (beforeMillis > 0) fleet.change('servers/1');
         yield* fleet.run(100);
-        silentNode?.source.setState('unheard');
+        silentNode?.source.setState('stalled');
         yield* fleet.run(Math.max(0, beforeMillis - 100));
         let isChanged = false;
         const others = fleet.nodes.filter(node => node !== silentNode);
@@ -202,7 +203,7 @@
 }
 
 test('a node that has lost the source receives changes from other nodes', async t => {
-  await playRelayFleet(SMALL, fleet =>
+  await simulateRelayFleet(SMALL, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
       for (const node of fleet.nodes.slice(0, 11)) {
@@ -221,7 +222,7 @@
 test('only watching nodes read all documents after the history was lost', async t => {
   // 20 nodes read all documents, in several calls each, where three had to: their
   // watching node had read, and could relay only changes after its read.
-  await playRelayFleet(SMALL, fleet =>
+  await simulateRelayFleet(SMALL, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
       const measured = yield* measure(fleet, 10_000, atMillis => {
@@ -241,11 +242,11 @@
 });
 
 test('after a restore from a copy, all nodes have the documents of the source', async t => {
-  await playRelayFleet(SMALL, fleet =>
+  await simulateRelayFleet(SMALL, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
       for (let drill = 0; drill < 4; drill += 1) {
-        const restore = fleet.copy();
+        const restore = fleet.takeSnapshot();
         yield* fleet.run(1500, atMillis => {
           if (atMillis % 200 !== 0) return;
           fleet.change(`servers/${String(drill)}-${String(atMillis % 1000)}`);
@@ -256,7 +257,7 @@
         restore();
         for (let count = 0; count < 3; count += 1) fleet.change('op/config');
         yield* fleet.run(4000);
-        disconnectedNode?.source.setState('well');
+        disconnectedNode?.source.setState('healthy');
         yield* fleet.run(4000);
         for (const {texts, source} of fleet.nodes) {
           t.deepEqual(texts, source.texts);
@@ -267,18 +268,18 @@
 });
 
 test('a node that is too far behind for relayed changes reads all documents', async t => {
-  await playRelayFleet(SMALLEST, fleet =>
+  await simulateRelayFleet(SMALLEST, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
       const [laggingNode] = fleet.nodes;
       if (laggingNode === undefined) return;
-      laggingNode.isCutOff = true;
+      laggingNode.isPartitioned = true;
       laggingNode.source.setState('refusing');
       for (let count = 0; count < 600; count += 1) fleet.change('servers/1');
       fleet.change('op/config');
       yield* fleet.run(8000);
-      laggingNode.isCutOff = false;
-      laggingNode.source.setState('well');
+      laggingNode.isPartitioned = false;
+      laggingNode.source.setState('healthy');
       yield* fleet.run(4000);
       t.deepEqual(laggingNode.texts, laggingNode.source.texts);
     }),
--- a/test/unit/daemon/restored_source_model.test.ts
+++ b/test/unit/daemon/restored_source_model.test.ts
@@ -17,16 +17,19 @@
 import {createUpstreamDirectory} from '../../../src/process/membership/upstream_directory.js';
 import type {UpstreamEntry} from '../../../src/process/membership/upstream_entry.js';
 import {createRouteTable} from '../../../src/version/route_table.js';
-import {replayFollower} from '../../fakes/follower_replay.js';
-import type {PublishedWorld, WorldAct} from '../../fakes/published_world.js';
+import {simulateFollower} from '../../fakes/follower_simulation.js';
+import type {
+  SimulatedPublishers,
+  PublisherAction,
+} from '../../fakes/simulated_publishers.js';
 import {
-  createPublishedWorld,
+  createSimulatedPublishers,
   ENTRIES_PREFIX,
   VERSION_KEY,
-  WORLD_HEARTBEAT_MILLIS,
-} from '../../fakes/published_world.js';
-import type {ReplayedSource} from '../../fakes/replayed_source.js';
-import {createReplayedSource} from '../../fakes/replayed_source.js';
+  HEARTBEAT_INTERVAL_MILLIS,
+} from '../../fakes/simulated_publishers.js';
+import type {SimulatedSource} from '../../fakes/simulated_source.js';
+import {createSimulatedSource} from '../../fakes/simulated_source.js';
 import {
   routeConfiguration,
   upstreamEntry,
@@ -42,25 +45,33 @@
 /** Time after the last act: losses end, silent upstreams expire, all changes arrive. */
 const SETTLE_MILLIS = 12_000;
 
-const ACT: fc.Arbitrary<WorldAct> = fc.record({
+const ACT: fc.Arbitrary<PublisherAction> = fc.record({
   kind: fc.constantFrom(
     ...(['write', 'drain', 'leave', 'crash', 'start', 'start'] as const),
     ...(['publish', 'compact', 'cut', 'restore', 'restore'] as const),
   ),
   upstreamIndex: fc.nat(UPSTREAMS_COUNT - 1),
-  ageCount: fc.nat(6),
-  lastsMillis: fc.integer({min: 0, max: 2500}),
+  snapshotAgeCount: fc.nat(6),
+  durationMillis: fc.integer({min: 0, max: 2500}),
   pauseMillis: fc.integer({min: 0, max: 2000}),
 });
 
 /** Creates an act with defaults for unused fields. */
-function act(kind: WorldAct['kind'], fields: Partial<WorldAct> = {}): WorldAct {
-  const none = {upstreamIndex: 0, ageCount: 0, lastsMillis: 0, pauseMillis: 0};
+function act(
+  kind: PublisherAction['kind'],
+  fields: Partial<PublisherAction> = {},
+): PublisherAction {
+  const none = {
+    upstreamIndex: 0,
+    snapshotAgeCount: 0,
+    durationMillis: 0,
+    pauseMillis: 0,
+  };
   return {kind, ...none, ...fields};
 }
 
 /** Series that revealed a fault, each with its random seed. */
-const REGRESSION_SERIES: Array<[WorldAct[], number]> = [
+const REGRESSION_SERIES: Array<[PublisherAction[], number]> = [
   // A running upstream was removed. It had started after the copy was made, and the source
   // was lost and restored from a copy again while the upstream was still expected.
   [
@@ -68,14 +79,14 @@
       act('crash', {upstreamIndex: 3}),
       act('start', {upstreamIndex: 3, pauseMillis: 329}),
       act('write', {pauseMillis: 372}),
-      act('restore', {ageCount: 2, pauseMillis: 900}),
-      act('restore', {lastsMillis: 2151}),
+      act('restore', {snapshotAgeCount: 2, pauseMillis: 900}),
+      act('restore', {durationMillis: 2151}),
     ],
     999,
   ],
 ];
 
-function documentsOf(source: ReplayedSource): PublishedDocuments {
+function documentsOf(source: SimulatedSource): PublishedDocuments {
   return {
     source,
     configurationPrefix: 'op/',
@@ -113,7 +124,7 @@
 }
 
 /** Records violations: entries in use after they drained or left, or removed while running. */
-function createInvariantChecker(world: () => PublishedWorld) {
+function createInvariantChecker(world: () => SimulatedPublishers) {
   const violations: string[] = [];
   const departedEntries = new Map<string, UpstreamEntry>();
   const drained = new Set<string>();
@@ -147,18 +158,18 @@
 }
 
 async function runSeries(
-  acts: readonly WorldAct[],
+  acts: readonly PublisherAction[],
   seed: number,
 ): Promise<void> {
   const clock = {millis: 0};
   const random = createSeededRandom(seed);
-  const source = createReplayedSource(() => clock.millis);
-  const world = createPublishedWorld(source, UPSTREAMS_COUNT, random);
+  const source = createSimulatedSource(() => clock.millis);
+  const world = createSimulatedPublishers(source, UPSTREAMS_COUNT, random);
   const checker = createInvariantChecker(() => world);
   const configuration = createConfigurationHolder();
   const directory = createUpstreamDirectory({
     nowMillis: () => clock.millis,
-    heartbeatMillis: WORLD_HEARTBEAT_MILLIS,
+    heartbeatMillis: HEARTBEAT_INTERVAL_MILLIS,
     onChange: checker.note,
   });
   const listeners = createDocumentListeners({
@@ -180,7 +191,7 @@
   const actsMillis = acts.reduce((sum, act) => sum + act.pauseMillis, 0);
   let nextMillis = 1000;
   let versionBefore = 0;
-  await replayFollower({
+  await simulateFollower({
     source,
     clock,
     stepMillis: STEP_MILLIS,
@@ -189,11 +200,11 @@
     peerPositions: createPeerPositions(),
     pacing: createFollowerPacing({applyWithinMillis: 2000, random}),
     listener: createPrefixListener(listeners.byPrefix),
-    act: atMillis => {
+    onStep: atMillis => {
       while (remainingActs.length > 0 && atMillis >= nextMillis) {
         const act = remainingActs.shift();
         if (act === undefined) break;
-        world.act(act, atMillis);
+        world.apply(act, atMillis);
         nextMillis += act.pauseMillis;
       }
       world.tick(atMillis);
@@ -222,8 +233,8 @@
 }
 
 function checkEnd(
-  world: PublishedWorld,
-  source: ReplayedSource,
+  world: SimulatedPublishers,
+  source: SimulatedSource,
   node: NodeState,
 ): void {
   const published = [...source.texts]
--- a/test/unit/process/admission/fleet_overload.test.ts
+++ b/test/unit/process/admission/fleet_overload.test.ts
@@ -1,24 +1,24 @@
 import test from 'ava';
 import type {
-  ReplayOutcome,
-  ReplayRoute,
-  ReplayService,
+  SimulationResult,
+  SimulatedRoute,
+  SimulatedService,
 } from '../../../fakes/fleet_load.js';
 import {sumSeconds} from '../../../fakes/fleet_load.js';
-import {replayFleet} from '../../../fakes/fleet_replay.js';
+import {simulateFleet} from '../../../fakes/fleet_simulation.js';
 
 /**
  * 35 upstreams of four services. Every browse makes four lookups at the
  * catalogue, every order eight, two and three hops below the entry.
  */
-const SERVICES: readonly ReplayService[] = [
+const SERVICES: readonly SimulatedService[] = [
   {name: 'atlas', slotsCount: 50, speeds: cycled(16, [0.6, 1, 1.4])},
   {name: 'desk', slotsCount: 62, speeds: cycled(12, [0.5, 1, 1, 1.5])},
   {name: 'yard', slotsCount: 230, speeds: cycled(3, [0.7, 0.7, 1.6])},
   {name: 'catalogue', slotsCount: 59, speeds: [0.5, 1, 1, 1.5]},
 ];
 
-const ROUTES: readonly ReplayRoute[] = [
+const ROUTES: readonly SimulatedRoute[] = [
   route('browse', 'atlas', 2, [210, 1500, 1500], ['check']),
   route('order', 'desk', 0, [280, 1500, 2000], ['index', 'index']),
   route('read', 'catalogue', 1, [86, 1200, 300], []),
@@ -33,18 +33,22 @@
   seed: number,
   seconds: number,
   services = SERVICES,
-): ReplayOutcome {
+): SimulationResult {
   // 236 slots at 95% do 224 ms of work each millisecond.
   const browsePerSecond = 494 * ratio;
-  return replayFleet({
+  return simulateFleet({
     services,
     routes: ROUTES,
     clients: [
-      {route: 'browse', perSecond: browsePerSecond, patienceMillis: 5000},
-      {route: 'order', perSecond: browsePerSecond / 2, patienceMillis: 5000},
-      {route: 'read', perSecond: browsePerSecond / 4, patienceMillis: 1200},
+      {route: 'browse', perSecond: browsePerSecond, totalTimeoutMillis: 5000},
+      {
+        route: 'order',
+        perSecond: browsePerSecond / 2,
+        totalTimeoutMillis: 5000,
+      },
+      {route: 'read', perSecond: browsePerSecond / 4, totalTimeoutMillis: 1200},
     ],
-    lengthMillis: seconds * 1000,
+    durationMillis: seconds * 1000,
     seed,
   });
 }
@@ -59,7 +63,7 @@
     number,
   ],
   calls: readonly string[],
-): ReplayRoute {
+): SimulatedRoute {
   return {
     name,
     service,
--- a/test/unit/process/quarantine/crash_gossip.test.ts
+++ b/test/unit/process/quarantine/crash_gossip.test.ts
@@ -59,7 +59,7 @@
     messagesCount += 1;
     sentBytes += message.length;
     if (!canReach(from, to) || random.next() < lossRatio) return;
-    clock.after(HOP_MILLIS, onArrival);
+    clock.schedule(HOP_MILLIS, onArrival);
   };
   const send = (node: GossipNode, peer: Endpoint, report: Buffer): void => {
     const target = byPort.get(peer.port)!;
@@ -101,9 +101,9 @@
   for (const node of nodes) {
     const tick = (): void => {
       node.gossip.tick();
-      clock.after(COMPARE_INTERVAL_MILLIS, tick);
+      clock.schedule(COMPARE_INTERVAL_MILLIS, tick);
     };
-    clock.after(random.next() * COMPARE_INTERVAL_MILLIS, tick);
+    clock.schedule(random.next() * COMPARE_INTERVAL_MILLIS, tick);
   }
   return {
     clock,
@@ -233,7 +233,7 @@
       clearedFingerprints: [],
     });
     for (const [index, fingerprint] of fingerprints.entries()) {
-      clock.after(10 * index, () => {
+      clock.schedule(10 * index, () => {
         nodes[(crash + index) % nodesCount]!.evidence.clear([fingerprint]);
       });
     }
--- a/test/unit/process/quota/quota_fleet.test.ts
+++ b/test/unit/process/quota/quota_fleet.test.ts
@@ -3,22 +3,22 @@
  * number of requests under any failure, and requests within a quota are served.
  */
 import test from 'ava';
-import type {QuotaOutcome} from '../../../fakes/quota_replay.js';
-import {replayQuota} from '../../../fakes/quota_replay.js';
+import type {QuotaResult} from '../../../fakes/quota_simulation.js';
+import {simulateQuota} from '../../../fakes/quota_simulation.js';
 import type {ScenarioName} from '../../../fakes/quota_scenarios.js';
 import {
   QUOTA_SCENARIOS,
-  SCENARIO_MILLIS,
+  SCENARIO_DURATION_MILLIS,
 } from '../../../fakes/quota_scenarios.js';
-import {coordinated} from '../../../fakes/quota_ways.js';
+import {coordinatedCounts} from '../../../fakes/quota_strategies.js';
 
 function replay(
   name: ScenarioName,
   fleet: {nodesCount: number; ratePerSecond: number; seed?: number},
-): Promise<QuotaOutcome> {
-  return replayQuota(coordinated, {
+): Promise<QuotaResult> {
+  return simulateQuota(coordinatedCounts, {
     seed: 1,
-    lastsMillis: SCENARIO_MILLIS,
+    durationMillis: SCENARIO_DURATION_MILLIS,
     ...fleet,
     ...QUOTA_SCENARIOS[name],
   });
