--- a/test/fakes/relay_fleet.ts
+++ b/test/fakes/relay_fleet.ts
@@ -178,7 +178,7 @@
       if (random() >= chance) continue;
       const other = nodes[Math.floor(random() * nodes.length)];
       if (other === undefined || other.isPartitioned || node.isPartitioned)
-        continue;
+        {continue;}
       node.positions.recordPeerPosition(other.positions.applied);
       other.positions.recordPeerPosition(node.positions.applied);
     }
