--- a/src/connection/body_rest_sender.ts
+++ b/src/connection/body_rest_sender.ts
@@ -9,7 +9,8 @@
 
 /**
  * Bytes in flight to one reader: at 1,000 Mbit/s this covers a round trip of
- * two milliseconds, and some hundred readers still fit into a small node.
+ * two milliseconds, and the memory of a small node suffices for some hundred
+ * readers.
  */
 export const BODY_REST_WINDOW_BYTES = 262_144;
 
--- a/src/connection/crash_report_sender.ts
+++ b/src/connection/crash_report_sender.ts
@@ -17,13 +17,13 @@
 export function sendCrashReport(
   peer: Endpoint,
   report: Buffer,
-  onAnswer: (report: Buffer) => void,
+  onResponse: (report: Buffer) => void,
 ): void {
   const connection = openFrameConnection(peer, {
     onConnected: noop,
     onDataReceived: noop,
     onFrame: ({kind, payload}) => {
-      if (kind === FRAME_KIND.crashes) onAnswer(payload);
+      if (kind === FRAME_KIND.crashes) onResponse(payload);
       // Response to the ping below; it follows the response to the report, if
       // any.
       if (kind === FRAME_KIND.pong) connection.end();
--- a/src/connection/document_listener.ts
+++ b/src/connection/document_listener.ts
@@ -38,7 +38,7 @@
 /** Listener for events of a document follower. */
 export interface DocumentListener {
   /** A call has finished; called for each call because calls are billed. */
-  onCall(end: SourceCallResult): void;
+  onCall(result: SourceCallResult): void;
   /** All current documents; documents that are not listed no longer exist. */
   onSnapshot(documents: readonly DocumentChange[], revision: number): void;
   onChanges(documents: readonly DocumentChange[], revision: number): void;
@@ -49,6 +49,9 @@
   onRestored(before: SourcePosition, now: SourcePosition): void;
   /** The first failure after a response. */
   onLost(reason: string): void;
-  /** The first response, and the first response after a failure. */
-  onReached(wasLostMillis: number): void;
+  /**
+   * The first response, and the first response after a failure; `lostMillis` is
+   * the time since the failure, or 0.
+   */
+  onReached(lostMillis: number): void;
 }
--- a/src/connection/follower_state.ts
+++ b/src/connection/follower_state.ts
@@ -54,7 +54,7 @@
   setWatching(isWatching: boolean): void;
   /** Records whether the last call to the source failed. */
   setSourceLost(isLost: boolean): void;
-  /** A watch returned no changes although other nodes have later ones. */
+  /** A watch was cancelled because other nodes have later changes. */
   markStale(): void;
   /** The source or another node responded. */
   markReached(): void;
@@ -65,7 +65,7 @@
    * Applies changes after a position; skips those that the other task has
    * already applied.
    */
-  applyChanges(after: SourcePosition, read: DocumentBatch): void;
+  applyChanges(after: SourcePosition, batch: DocumentBatch): void;
 }
 
 export interface FollowerStateOptions {
@@ -90,7 +90,7 @@
   let isSourceLost = false;
   let isWatching = relay === undefined;
   let isStale = false;
-  let isFirst = true;
+  let isBeforeFirstResponse = true;
   let lostAtMillis: number | undefined;
   let callStartedMillis = 0;
   let wake = (): void => undefined;
@@ -152,8 +152,8 @@
       readRequirement = requirement;
       wake();
     },
-    setWatching: nextPosition => {
-      isWatching = nextPosition;
+    setWatching: next => {
+      isWatching = next;
       updateWatching();
       if (!isIdle()) wake();
     },
@@ -170,14 +170,14 @@
       updateWatching();
     },
     markReached: () => {
-      if (!isFirst && lostAtMillis === undefined) return;
+      if (!isBeforeFirstResponse && lostAtMillis === undefined) return;
       const lostMillis = nowMillis() - (lostAtMillis ?? nowMillis());
-      isFirst = false;
+      isBeforeFirstResponse = false;
       lostAtMillis = undefined;
       listener.onReached(lostMillis);
     },
     markLost: reason => {
-      if (lostAtMillis !== undefined || isFirst) return;
+      if (lostAtMillis !== undefined || isBeforeFirstResponse) return;
       lostAtMillis = nowMillis();
       listener.onLost(reason);
     },
@@ -193,12 +193,12 @@
       readRequirement = 'no';
       updateWatching();
     },
-    applyChanges: (after, read) => {
+    applyChanges: (after, batch) => {
       const previous = position ?? after;
-      const documents = read.documents.filter(
+      const documents = batch.documents.filter(
         ({revision}) => revision > previous.revision,
       );
-      position = laterPosition(previous, read.position);
+      position = laterPosition(previous, batch.position);
       if (documents.length > 0) {
         listener.onChanges(documents, position.revision);
       }
--- a/src/connection/hop_connection.ts
+++ b/src/connection/hop_connection.ts
@@ -132,7 +132,8 @@
     channels.set(channelId, channel);
     updateChannelStats();
     hop.detach = () => {
-      // The response has arrived, or the sender no longer waits.
+      // Called when the response has arrived or the sender no longer waits. A
+      // channel that still receives the response body stays open.
       if (channel.bodyRest === undefined) cancelChannel(channelId);
     };
     hopConnection.lastUsedMillis = nowMillis();
--- a/src/connection/hop_listener.ts
+++ b/src/connection/hop_listener.ts
@@ -155,8 +155,8 @@
         state.busyCount -= 1;
       },
     });
-    // The sender has claimed this hop and learned that it had not arrived, so
-    // it may have resent the request to another node.
+    // The sender claimed this hop before it arrived and received the state
+    // `unknown`, so it may have resent the request to another node.
     if (!state.incomingHops.begin(hopId, hop)) {
       sendRefusal(connection, channelId);
       return;
--- a/src/connection/incoming_hop.ts
+++ b/src/connection/incoming_hop.ts
@@ -45,7 +45,7 @@
   /** Loads of other upstreams should be included in the response. */
   isLoadReportDue(): boolean;
   /** Sends the response; called once. */
-  answer(end: IncomingHopResult): void;
+  answer(result: IncomingHopResult): void;
 }
 
 /** A request, as managed by its listener. */
--- a/src/connection/operator_listener.ts
+++ b/src/connection/operator_listener.ts
@@ -37,7 +37,7 @@
 /** Maximum number of open connections of operators and their tools. */
 const MAX_CONNECTIONS_COUNT = 64;
 
-/** Opens the listener; rejects if the address is not available. */
+/** Opens the listener; rejects if the address cannot be bound. */
 export async function openOperatorListener(
   endpoint: Endpoint,
   view: OperatorView,
--- a/src/connection/outgoing_hop.ts
+++ b/src/connection/outgoing_hop.ts
@@ -57,7 +57,7 @@
   readonly request: Omit<HopRequest, 'hopId' | 'bodyForm'>;
   readonly body: Buffer;
   readonly startedMillis: number;
-  readonly onEnd: (finish: HopResult) => void;
+  readonly onEnd: (result: HopResult) => void;
 }
 
 /**
--- a/src/connection/peer_monitor.ts
+++ b/src/connection/peer_monitor.ts
@@ -35,8 +35,9 @@
    */
   probe(isUrgent: boolean): Promise<boolean>;
   /**
-   * The node replied: resumes requests of connections that have been silent
-   * since then, and requests without a connection, on other connections.
+   * The node replied: resumes on other connections the requests of connections
+   * that have been silent since `sinceMillis`, and requests without a
+   * connection.
    */
   replaceSilentConnections(sinceMillis: number): void;
   /** Fails requests that may be resent to other nodes; returns their number. */
--- a/src/connection/prefix_listener.ts
+++ b/src/connection/prefix_listener.ts
@@ -18,9 +18,9 @@
     documents.filter(({key}) => key.startsWith(prefix));
   const allListeners = [...listeners.values()];
   return {
-    onCall: end => {
+    onCall: result => {
       // Reported once, because all listeners share the call.
-      allListeners[0]?.onCall(end);
+      allListeners[0]?.onCall(result);
     },
     onRestored: (before, now) => {
       for (const listener of allListeners) listener.onRestored(before, now);
@@ -28,8 +28,8 @@
     onLost: reason => {
       for (const listener of allListeners) listener.onLost(reason);
     },
-    onReached: wasLostMillis => {
-      for (const listener of allListeners) listener.onReached(wasLostMillis);
+    onReached: lostMillis => {
+      for (const listener of allListeners) listener.onReached(lostMillis);
     },
     onSnapshot: (documents, revision) => {
       for (const [prefix, listener] of listeners) {
--- a/src/connection/relay_follower.ts
+++ b/src/connection/relay_follower.ts
@@ -42,15 +42,15 @@
   /** Returns the pause before the next poll. */
   const applyDocuments = (
     after: SourcePosition,
-    read: Exclude<RelayPollResult, string>,
+    batch: Exclude<RelayPollResult, string>,
     sinceMillis: number,
   ): number => {
     options.onResponse();
     state.markReached();
-    if (read.documents.length > 0) {
-      state.reportCall('relayed', read, sinceMillis);
+    if (batch.documents.length > 0) {
+      state.reportCall('relayed', batch, sinceMillis);
     }
-    state.applyChanges(after, read);
+    state.applyChanges(after, batch);
     state.setWatching(false);
     const isStale = peerPositions?.isStale ?? false;
     return isStale ? STALE_POLL_PAUSE_MILLIS : POLL_PAUSE_MILLIS;
--- a/src/connection/send_request.ts
+++ b/src/connection/send_request.ts
@@ -42,7 +42,7 @@
 /** Sends a request; `onEnd` is called once. */
 export function sendRequest(
   outgoing: OutgoingRequest,
-  onEnd: (finish: SendResult) => void,
+  onEnd: (result: SendResult) => void,
 ): void {
   const {to} = outgoing;
   const request = http.request({
--- a/src/connection/upstream_sender.ts
+++ b/src/connection/upstream_sender.ts
@@ -68,7 +68,8 @@
 const MAX_IDLE_MILLIS = 4000;
 
 /**
- * Maximum number of connections to the upstream; its slots are the lower limit.
+ * Maximum number of connections to the upstream; the number of its slots is a
+ * stricter limit.
  */
 const MAX_SOCKETS_COUNT = 1024;
 
