--- a/src/protocol/hop_frames.ts
+++ b/src/protocol/hop_frames.ts
@@ -15,12 +15,12 @@
   request: 2,
   /** A slot is reserved; the sender may send the body. */
   bodyWanted: 3,
-  /** A body chunk, and the last body chunk. */
+  /** A chunk of the request body, and the last one. */
   body: 4,
   bodyEnd: 5,
   /** Result of a request, with the response body or its beginning. */
   answer: 6,
-  /** A chunk of the tail response body, its end, and its abort. */
+  /** A chunk of the remaining response body, its end, and its abort. */
   data: 7,
   dataEnd: 8,
   broken: 9,
@@ -41,7 +41,8 @@
   claim: 14,
   claimed: 15,
   /**
-   * The process is stopping: no new requests; the sender closes the connection.
+   * The process is stopping: the peer must send no new requests, and closes the
+   * connection once it has none in flight.
    */
   goingAway: 16,
   /** Response to a query for changes of the published documents. */
--- a/src/protocol/hop_messages.ts
+++ b/src/protocol/hop_messages.ts
@@ -94,6 +94,10 @@
    * requests.
    */
   | 'isolated'
+  /**
+   * The node did not reply in time, or reported that it had not received the
+   * request.
+   */
   | 'silent'
   | 'timeout'
   | 'cancelled';
--- a/src/protocol/relay_codec.ts
+++ b/src/protocol/relay_codec.ts
@@ -25,7 +25,7 @@
   readonly changes: readonly ChangeFields[] | undefined;
 }
 
-/** First byte of a query for changes; a query for loads begins with 1. */
+/** First byte of a query for changes; other queries begin with 1, 3 or 4. */
 const RELAY_QUERY_TYPE = 2;
 
 /** Encodes a query for all changes after a position. */
