--- a/src/version/route_table.ts
+++ b/src/version/route_table.ts
@@ -81,8 +81,8 @@
 }
 
 /**
- * Sorts the routes of a host by falling prefix length: the first match is the
- * longest.
+ * Sorts the routes of a host by descending prefix length: the first match is
+ * the longest.
  */
 function groupByHost(
   routes: readonly ServiceRoute[],
