--- a/test/unit/platform/malformed_documents.test.ts
+++ b/test/unit/platform/malformed_documents.test.ts
@@ -53,12 +53,12 @@
  */
 function withValue(document: object, path: Path, value: unknown): string {
   const copy: unknown = structuredClone(document);
-  let place = copy as Record<string, unknown>;
+  let parent = copy as Record<string, unknown>;
   for (const step of path.slice(0, -1)) {
-    place = place[step] as Record<string, unknown>;
+    parent = parent[step] as Record<string, unknown>;
   }
   const last = path.at(-1) ?? '';
-  place[last] = value;
+  parent[last] = value;
   return JSON.stringify(copy);
 }
 
