--- a/src/cli/console/checks_renderer.ts
+++ b/src/cli/console/checks_renderer.ts
@@ -22,7 +22,7 @@
   /** Valid settings that may be mistakes. */
   readonly warnings: readonly FieldProblem[];
   /** Warnings about the update from the previous document. */
-  readonly notes: readonly string[];
+  readonly updateWarnings: readonly string[];
   /** Undefined while the document itself is invalid. */
   readonly summary: DraftSummary | undefined;
   /** Whether this document was just saved. */
@@ -71,7 +71,7 @@
 }
 
 function renderProblems(view: ChecksView): Html {
-  const {draft, problems, warnings, notes} = view;
+  const {draft, problems, warnings, updateWarnings} = view;
   return html`${
     problems.length === 0
       ? html`<p class="help">None: the document may be saved.</p>`
@@ -86,8 +86,8 @@
       : EMPTY_HTML
   }
   ${
-    warnings.length + notes.length > 0
-      ? renderWarnings(draft, warnings, notes)
+    warnings.length + updateWarnings.length > 0
+      ? renderWarnings(draft, warnings, updateWarnings)
       : EMPTY_HTML
   }`;
 }
@@ -107,12 +107,12 @@
 function renderWarnings(
   draft: DraftGroup,
   warnings: readonly FieldProblem[],
-  notes: readonly string[],
+  updateWarnings: readonly string[],
 ): Html {
   return html`<h3>Warnings</h3>
     <ul class="warnings">
       ${warnings.map(warning => renderProblem(draft, warning))}
-      ${notes.map(note => html`<li>${note}.</li>`)}
+      ${updateWarnings.map(warning => html`<li>${warning}.</li>`)}
     </ul>`;
 }
 
--- a/src/cli/console/console_pages.ts
+++ b/src/cli/console/console_pages.ts
@@ -125,13 +125,13 @@
   report: DraftReport = session.check(draft),
   saved?: SavedNotice,
 ): PageView {
-  const {compiled, problems, warnings, notes} = report;
+  const {compiled, problems, warnings, updateWarnings} = report;
   const previous = session.previous()?.policy;
   return {
     draft,
     problems: toFieldProblems(problems),
     warnings: toFieldProblems(warnings),
-    notes,
+    updateWarnings,
     summary: compiled && summarizeDraft(compiled, previous),
     saved,
     isSaved: saved !== undefined,
--- a/src/cli/console/document_builder.ts
+++ b/src/cli/console/document_builder.ts
@@ -21,7 +21,7 @@
   /** Valid settings that may be mistakes. */
   readonly warnings: readonly Problem[];
   /** Warnings about the update from the previous document. */
-  readonly notes: readonly string[];
+  readonly updateWarnings: readonly string[];
 }
 
 /** Encodes a draft as the JSON document that would be saved. */
@@ -42,7 +42,7 @@
   const compilation = compilePolicy(encodeDraft(draft));
   if (compilation.kind === 'invalid') {
     const {problems} = compilation;
-    return {compiled: undefined, problems, warnings: [], notes: []};
+    return {compiled: undefined, problems, warnings: [], updateWarnings: []};
   }
   const {compiled} = compilation;
   const updateReport = previous
@@ -52,7 +52,7 @@
     compiled,
     problems: updateReport.problems,
     warnings: findPolicyWarnings(compiled.policy),
-    notes: updateReport.warnings,
+    updateWarnings: updateReport.warnings,
   };
 }
 
--- a/src/cli/console/draft_edits.ts
+++ b/src/cli/console/draft_edits.ts
@@ -22,14 +22,19 @@
   return `${verb} ${target}`;
 }
 
-/** Parses the value of a button; throws for any other text. */
+/**
+ * Parses the value of a button; throws `InvalidInputError` for any other text.
+ */
 export function parseEdit(action: string): DraftEdit {
   const groups = EDIT_PATTERN.exec(action)?.groups;
   if (groups === undefined) throw formError('the action is unknown');
   return {verb: groups['verb'] as EditVerb, target: groups['target'] ?? ''};
 }
 
-/** Returns a copy of the draft with the edit applied. */
+/**
+ * Returns a copy of the draft with the edit applied; throws `InvalidInputError`
+ * if the draft has no such list or item.
+ */
 export function applyEdit(draft: DraftGroup, edit: DraftEdit): DraftGroup {
   const segments = edit.target.split('.');
   if (edit.verb === 'add') {
--- a/src/cli/console/draft_templates.ts
+++ b/src/cli/console/draft_templates.ts
@@ -36,7 +36,10 @@
   return toDraft(policyFormModel, TEMPLATE);
 }
 
-/** Creates an item for a list by form name, for example `services.0.routes`. */
+/**
+ * Creates an item for a list by form name, for example `services.0.routes`;
+ * throws `InvalidInputError` if there is no such list.
+ */
 export function createNewItem(listName: string): DraftGroup {
   const segments = listName.split('.');
   const path = segments.filter(segment => !/^\d+$/.test(segment)).join('.');
