--- a/test/contract/platform_crashing_processes.test.ts
+++ b/test/contract/platform_crashing_processes.test.ts
@@ -17,7 +17,7 @@
 const DOWN_MILLIS = 300;
 
 /** Time in which a started node must receive the crash reports of other nodes. */
-const LEARN_MILLIS = 2500;
+const CRASH_REPORTS_WAIT_MILLIS = 2500;
 
 test('nodes that are killed and restarted refuse a request that crashed upstreams', async t => {
   // Guards against a request that crashes three more upstreams each time most nodes are
@@ -69,7 +69,7 @@
 
   for (const index of [0, 1, 2, 3]) restart(index);
   await untilInForce(hosts, 1);
-  await sleep(LEARN_MILLIS);
+  await sleep(CRASH_REPORTS_WAIT_MILLIS);
   const runsBefore = runsCount;
   for (let round = 0; round < 2 * hosts.length; round += 1) {
     const answer = await sendCulprit();
--- a/test/contract/platform_crashing_requests.test.ts
+++ b/test/contract/platform_crashing_requests.test.ts
@@ -98,7 +98,7 @@
 }
 
 /** Sends the culprit through each node in turn until it has crashed three upstreams. */
-async function crashThree(crashing: CrashingFleet): Promise<void> {
+async function crashThreeUpstreams(crashing: CrashingFleet): Promise<void> {
   for (let index = 0; index < 400; index += 1) {
     if (crashing.crashesCount() >= CRASHES_COUNT) break;
     await crashing.sendCulprit();
@@ -111,7 +111,7 @@
   // Guards against a request that repeatedly crashes all upstreams of its service because
   // nodes do not recognise the retries of its callers.
   const crashing = await startCrashingFleet(t);
-  await crashThree(crashing);
+  await crashThreeUpstreams(crashing);
   t.true(crashing.crashesCount() >= CRASHES_COUNT);
   const runsBefore = crashing.culpritRunsCount();
   const answers: ClientAnswer[] = [];
@@ -119,8 +119,8 @@
     answers.push(await crashing.sendCulprit());
     await sleep(50);
   }
-  const moreCount = crashing.culpritRunsCount() - runsBefore;
-  t.true(moreCount <= ALLOWED_COUNT, String(moreCount));
+  const furtherRunsCount = crashing.culpritRunsCount() - runsBefore;
+  t.true(furtherRunsCount <= ALLOWED_COUNT, String(furtherRunsCount));
   // None of them was executed, and each response has a `retry-after`.
   for (const {statusCode, headers} of answers.slice(ALLOWED_COUNT)) {
     t.is(statusCode, 503);
@@ -133,10 +133,10 @@
   // not cause them.
   const crashing = await startCrashingFleet(t);
   const {fleet, callers} = crashing;
-  const bystanders = Array.from({length: 30}, (_, index) => index);
+  const otherIndexes = Array.from({length: 30}, (_, index) => index);
   const sendAll = (round: number): Promise<ClientAnswer[]> =>
     Promise.all(
-      bystanders.map(index =>
+      otherIndexes.map(index =>
         fleet.send(callers[index % 2]!, {
           attemptId: `by${String(round)}-${String(index)}`,
           path: `/a/${String(index)}`,
@@ -147,10 +147,10 @@
     await Promise.all([sendAll(round), crashing.sendCulprit()]);
     await sleep(50);
   }
-  await crashThree(crashing);
+  await crashThreeUpstreams(crashing);
   const answers = await sendAll(100);
-  const servedCount = answers.filter(({statusCode}) => statusCode === 200);
-  t.is(servedCount.length, bystanders.length);
+  const served = answers.filter(({statusCode}) => statusCode === 200);
+  t.is(served.length, otherIndexes.length);
 });
 
 test('an order that crashes upstreams is refused, orders with other bodies are served', async t => {
@@ -158,7 +158,7 @@
   const culprit = {method: 'POST', path: '/order/1', body: 'culprit'};
   const crashing = await startCrashingFleet(t, culprit);
   const {fleet, callers} = crashing;
-  await crashThree(crashing);
+  await crashThreeUpstreams(crashing);
   t.is(crashing.crashesCount(), CRASHES_COUNT);
   const runsBefore = crashing.culpritRunsCount();
   for (const [index, caller] of callers.entries()) {
--- a/test/contract/platform_restart.test.ts
+++ b/test/contract/platform_restart.test.ts
@@ -58,8 +58,8 @@
     .filter(id => id === attemptId).length;
 }
 
-for (const entry of ['another node', 'the node beside it']) {
-  test(`an order in flight while its upstream restarts runs once: from ${entry}`, async t => {
+for (const sender of ['another node', 'the node beside it']) {
+  test(`an order in flight while its upstream restarts runs once: from ${sender}`, async t => {
     // Guards against an order that is booked twice: its upstream crashes while
     // working on it, the connection breaks, and the upstream is back under the
     // same id, so that the expected id matches. The match was treated as a
@@ -73,7 +73,7 @@
         else held.push(host);
       });
     }
-    const from = entry === 'another node' ? shop : first;
+    const from = sender === 'another node' ? shop : first;
     const answer = fleet.send(from, orderRequest('o1'));
     await waitUntil('order in flight', () => held.length === 1);
     const [holder] = held;
--- a/test/contract/platform_restart_retries.test.ts
+++ b/test/contract/platform_restart_retries.test.ts
@@ -39,12 +39,12 @@
 }
 
 test('requests for the ids of previous starts are served within the limit on retries', async t => {
-  // A service received 268 retries in ten seconds where
-  // 226 are allowed. All upstreams had lost power; each request was sent for an
-  // id of a previous start, denied, and sent again without being charged to a
-  // budget: "reaches server ..., answers 421 and doesn't run it", three times
-  // in a row for one call. Here every request that is sent before the first
-  // denial would be sent twice.
+  // A service received 268 retries in ten seconds where 226 are allowed. All
+  // upstreams had lost power; each request was sent for an id of a previous
+  // start, denied, and sent again without being charged to a budget: "reaches
+  // server ..., answers 421 and doesn't run it", three times in a row for one
+  // call. Here every request that is sent before the first denial would be sent
+  // twice.
   const end = await sendAfterPowerLoss(t, 5);
   t.true(end.retriedCount <= ALLOWED_COUNT, String(end.retriedCount));
   // Denied requests have not run, so that all of them can be served.
--- a/test/contract/platform_retries.test.ts
+++ b/test/contract/platform_retries.test.ts
@@ -2,8 +2,8 @@
 import {ORDER_PATH, orderRequest, SAFE_PATH} from '../fakes/platform_fleet.js';
 import {startFleet} from '../fakes/test_fleet.js';
 
-/** More requests than a node needs to learn the usual response time. */
-const LEARNING_COUNT = 60;
+/** More requests than a node needs to estimate the usual response time. */
+const WARM_UP_REQUESTS_COUNT = 60;
 
 test('a read whose response is lost is retried at another upstream', async t => {
   // Guards against reads that fail at their deadline while other upstreams are free: an
@@ -14,21 +14,21 @@
     paths: [SAFE_PATH, ORDER_PATH],
   });
   const [shop, ...orders] = fleet.hosts;
-  for (let index = 0; index < LEARNING_COUNT; index += 1) {
+  for (let index = 0; index < WARM_UP_REQUESTS_COUNT; index += 1) {
     const attemptId = `learn${String(index)}`;
     await fleet.send(shop!, {attemptId, path: '/a/1'});
   }
-  const ranLost: string[] = [];
+  const triedIds: string[] = [];
   for (const {backend} of orders) {
     backend.setBehaviour(request => {
-      if (request.target.startsWith('/a/lost')) ranLost.push(backend.id);
-      if (ranLost.length === 1) return;
+      if (request.target.startsWith('/a/lost')) triedIds.push(backend.id);
+      if (triedIds.length === 1) return;
       request.answer(200, 'done');
     });
   }
   const answer = await fleet.send(shop!, {attemptId: 'lost', path: '/a/lost'});
   t.is(answer.statusCode, 200);
-  t.deepEqual([...ranLost].sort(), ['i-2', 'i-3']);
+  t.deepEqual([...triedIds].sort(), ['i-2', 'i-3']);
 });
 
 test('an order whose response is lost is never retried', async t => {
@@ -39,7 +39,7 @@
   const [shop, ...orders] = fleet.hosts;
   const send = (attemptId: string) =>
     fleet.send(shop!, {...orderRequest(attemptId), timeoutMillis: 1000});
-  for (let index = 0; index < LEARNING_COUNT; index += 1) {
+  for (let index = 0; index < WARM_UP_REQUESTS_COUNT; index += 1) {
     await send(`learn${String(index)}`);
   }
   for (const {backend} of orders) backend.setBehaviour(() => undefined);
--- a/test/contract/platform_stop_late.test.ts
+++ b/test/contract/platform_stop_late.test.ts
@@ -12,7 +12,7 @@
 const LATE_MILLIS = 2700;
 
 /** Responses after which a node has an estimate of the usual latency. */
-const ATTEMPTS_UNTIL_LEARNED = 60;
+const WARM_UP_REQUESTS_COUNT = 60;
 
 /**
  * Much longer than responses take on one host, and than the shortest attempt
@@ -174,7 +174,7 @@
     paths: [SAFE_PATH],
   });
   const [shop, ...orders] = fleet.hosts;
-  for (let sent = 0; sent < ATTEMPTS_UNTIL_LEARNED; sent += 1) {
+  for (let sent = 0; sent < WARM_UP_REQUESTS_COUNT; sent += 1) {
     const attemptId = `usual-${String(sent)}`;
     await fleet.send(shop!, {attemptId, path: '/a/1'});
   }
