--- a/test/fakes/console_page.ts
+++ b/test/fakes/console_page.ts
@@ -1,8 +1,8 @@
 /**
- * What a browser would send from a page of the console.
+ * Parses a page of the operator console, as a browser or a user reads it.
  */
 
-const CONTROL = /<input([^>]*)>|<select([^>]*)>([\s\S]*?)<\/select>/g;
+const CONTROL_PATTERN = /<input([^>]*)>|<select([^>]*)>([\s\S]*?)<\/select>/g;
 const ENTITIES: Readonly<Record<string, string>> = {
   amp: '&',
   lt: '<',
@@ -11,10 +11,12 @@
   '#39': "'",
 };
 
-/** Reads all named controls of a page with their values. */
+/** Returns the names and values of all form controls of a page. */
 export function readFields(page: string): URLSearchParams {
   const fields = new URLSearchParams();
-  for (const [, input, select = '', options = ''] of page.matchAll(CONTROL)) {
+  for (const [, input, select = '', options = ''] of page.matchAll(
+    CONTROL_PATTERN,
+  )) {
     const name = attributeOf(input ?? select, 'name');
     const selected = /<option value="([^"]*)" selected/.exec(options)?.[1];
     const value =
@@ -26,15 +28,15 @@
   return fields;
 }
 
-/** Names and messages of the problems shown beside fields. */
+/** Returns the messages shown beside fields, by field name. */
 export function readProblems(page: string): ReadonlyMap<string, string> {
-  const places = page.matchAll(/data-problem-of="([^"]*)">([^<]+)</g);
+  const matches = page.matchAll(/data-problem-of="([^"]*)">([^<]+)</g);
   return new Map(
-    [...places].map(([, name = '', text = '']) => [name, unescapeText(text)]),
+    [...matches].map(([, name = '', text = '']) => [name, unescapeText(text)]),
   );
 }
 
-/** Text as it was before it was escaped. */
+/** Decodes the HTML entities that the console writes. */
 export function unescapeText(markup: string): string {
   return markup.replace(
     /&(amp|lt|gt|quot|#39);/g,
--- a/test/fakes/event_clock.ts
+++ b/test/fakes/event_clock.ts
@@ -1,12 +1,11 @@
 /**
- * A clock for replays: time passes only from one event to the next.
+ * Clock of a discrete event simulation: the time jumps from one event to the next.
  */
 
-/** A clock with events. */
 export interface EventClock {
   nowMillis(): number;
-  /** Calls the listener after a delay; the returned function calls it off. */
-  schedule(delayMillis: number, onTime: () => void): () => void;
+  /** Calls the callback after a delay; the returned function cancels it. */
+  schedule(delayMillis: number, callback: () => void): () => void;
   /** Runs all events up to a time. */
   runUntil(untilMillis: number): void;
 }
@@ -14,23 +13,23 @@
 interface TimedEvent {
   readonly atMillis: number;
   readonly sequence: number;
-  onTime: (() => void) | undefined;
+  callback: (() => void) | undefined;
 }
 
-/** Creates a clock at zero. */
+/** Creates a clock at time 0. */
 export function createEventClock(): EventClock {
   const heap: TimedEvent[] = [];
   let now = 0;
   let sequence = 0;
   return {
     nowMillis: () => now,
-    schedule: (delayMillis, onTime) => {
+    schedule: (delayMillis, callback) => {
       sequence += 1;
       const atMillis = now + Math.max(0, delayMillis);
-      const event: TimedEvent = {atMillis, sequence, onTime};
+      const event: TimedEvent = {atMillis, sequence, callback};
       push(heap, event);
       return () => {
-        event.onTime = undefined;
+        event.callback = undefined;
       };
     },
     runUntil: untilMillis => {
@@ -39,7 +38,7 @@
         if (next === undefined || next.atMillis > untilMillis) break;
         pop(heap);
         now = next.atMillis;
-        next.onTime?.();
+        next.callback?.();
       }
       now = untilMillis;
     },
--- a/test/fakes/execution_call.ts
+++ b/test/fakes/execution_call.ts
@@ -1,15 +1,14 @@
 /**
- * A call as attempts and executions get it, with defaults for what a test leaves
- * out.
+ * Builds calls for tests of attempts and executions.
  */
 import {createCancelSource} from '../../src/base/cancel_signal.js';
 import type {ExecutionCall} from '../../src/connection/execution.js';
 import {createRetryGrant} from '../../src/process/retries/shared_retry_grant.js';
 
-/** Time that a call has if the test does not say. */
+/** Default time until the deadline of a call. */
 const LEFT_MILLIS = 5000;
 
-/** A read of a client with three retries, made at `nowMillis`. */
+/** Returns a client's read with a grant of three retries that starts at `nowMillis`. */
 export function executionCall(
   nowMillis: number,
   fields: Partial<ExecutionCall> = {},
--- a/test/fakes/fake_store.ts
+++ b/test/fakes/fake_store.ts
@@ -1,21 +1,21 @@
 /**
- * A stand-in for the platform's metadata store: reads by prefix, watches, and
- * the faults it is known for.
+ * Fake of the platform's metadata store: reads by prefix, watches, and the faults that
+ * the store is known for.
  */
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-/** How the store treats calls. */
+/** How the store responds to calls. */
 export type StoreMode = 'healthy' | 'busy' | 'silent' | 'reset';
 
-/** An address of the store, which can be lost while others answer. */
+/** A port of the store with its own mode, so that it can fail for some callers only. */
 export interface StoreEndpoint {
   readonly port: number;
   setMode(mode: StoreMode): void;
 }
 
-/** What the store held at one moment. */
+/** State of the store at one time. */
 export interface StoreSnapshot {
   readonly items: ReadonlyMap<string, Change>;
   readonly history: readonly Change[];
@@ -23,37 +23,35 @@
   readonly revision: number;
 }
 
-/** The stand-in. */
 export interface FakeStore {
-  /** Calls received so far. */
+  /** Number of calls received so far. */
   readonly callsCount: number;
   /** Revision of the last change. */
   readonly revision: number;
   openEndpoint(): Promise<StoreEndpoint>;
   put(key: string, value: object): void;
-  /** Writes what another writer left there; `text` stands where base64 should. */
+  /** Writes a value as it is, which may be invalid base64. */
   putRaw(key: string, text: string | undefined): void;
   remove(key: string): void;
-  /** For all entrances. */
+  /** Sets the mode of all endpoints. */
   setMode(mode: StoreMode): void;
-  /** Forgets the history: watches from the past get 410. */
+  /** Discards the history: watches from earlier revisions get 410. */
   compact(): void;
   takeSnapshot(): StoreSnapshot;
   /**
-   * Comes back from a copy. What was written since is gone, and its revisions are
-   * given out again.
+   * Restores a snapshot. Later writes are lost, and their revisions are assigned again.
    */
-  restore(copy: StoreSnapshot): void;
-  /** Acts once, as the second page of a range is asked for. */
-  onSecondPage(act: () => void): void;
+  restore(snapshot: StoreSnapshot): void;
+  /** Calls the listener once, when the second page of a range is requested. */
+  onSecondPage(listener: () => void): void;
   /**
-   * The next watches from before the history hear nothing, and get their 410 only
-   * when their wait is over.
+   * Delays the 410 responses to the next `count` watches from before the history until
+   * their wait is over.
    */
   delayHistoryLost(count: number): void;
-  /** The longest wait of these that was over when it was told; 0 if none was. */
+  /** Longest such wait that got its response; 0 if none did. */
   readonly longestDelayMillis: number;
-  /** Items a page of a range holds. */
+  /** Sets the number of items in a page of a range. */
   setPageSize(count: number): void;
   close(): void;
 }
@@ -68,31 +66,31 @@
 }
 
 interface Watch {
-  readonly entrance: Entrance;
+  readonly endpoint: Endpoint;
   readonly prefix: string;
   readonly after: number;
   readonly response: ServerResponse;
 }
 
-interface Entrance {
+interface Endpoint {
   readonly server: Server;
   mode: StoreMode;
 }
 
 const DEFAULT_PAGE_ITEMS = 500;
 
-/** Creates a store without items and entrances. */
+/** Creates a store without items and endpoints. */
 export function createFakeStore(): FakeStore {
-  const entrances: Entrance[] = [];
+  const endpoints: Endpoint[] = [];
   let items = new Map<string, Change>();
   let history: Change[] = [];
   let oldestRevision = 0;
   let revision = 100;
   let era = 1;
-  let actBeforeSecondPage: (() => void) | undefined;
+  let secondPageListener: (() => void) | undefined;
   let callsCount = 0;
-  let holdCount = 0;
-  let longestHeldMillis = 0;
+  let delayedWatchesCount = 0;
+  let longestDelayMillis = 0;
   let pageItemsCount = DEFAULT_PAGE_ITEMS;
   const watches = new Set<Watch>();
 
@@ -108,10 +106,10 @@
     response.end(JSON.stringify(body));
   };
 
-  const cutWatches = (isCut: (watch: Watch) => boolean): void => {
-    for (const waiting of [...watches].filter(isCut)) {
-      watches.delete(waiting);
-      waiting.response.destroy();
+  const closeWatches = (isAffected: (watch: Watch) => boolean): void => {
+    for (const pending of [...watches].filter(isAffected)) {
+      watches.delete(pending);
+      pending.response.destroy();
     }
   };
 
@@ -128,8 +126,8 @@
     const prefix = query.get('prefix') ?? '';
     const after = query.get('after') ?? '';
     if (after !== '') {
-      actBeforeSecondPage?.();
-      actBeforeSecondPage = undefined;
+      secondPageListener?.();
+      secondPageListener = undefined;
     }
     const found = [...items.values()]
       .filter(item => item.key.startsWith(prefix) && item.key > after)
@@ -141,14 +139,14 @@
     });
   };
 
-  const holdLostWatch = (
+  const delayHistoryLostResponse = (
     query: URLSearchParams,
     response: ServerResponse,
   ): void => {
-    holdCount -= 1;
+    delayedWatchesCount -= 1;
     const waitMillis = Number(query.get('waitMs'));
     const timer = setTimeout(() => {
-      longestHeldMillis = Math.max(longestHeldMillis, waitMillis);
+      longestDelayMillis = Math.max(longestDelayMillis, waitMillis);
       sendJson(response, 410, {error: 'history'});
     }, waitMillis);
     response.on('close', () => {
@@ -157,7 +155,7 @@
   };
 
   const watch = (
-    entrance: Entrance,
+    endpoint: Endpoint,
     query: URLSearchParams,
     response: ServerResponse,
   ): void => {
@@ -168,7 +166,7 @@
       return;
     }
     if (after < oldestRevision) {
-      if (holdCount > 0) holdLostWatch(query, response);
+      if (delayedWatchesCount > 0) delayHistoryLostResponse(query, response);
       else sendJson(response, 410, {error: 'history'});
       return;
     }
@@ -179,11 +177,11 @@
       sendJson(response, 200, {events, atRev: revision});
       return;
     }
-    const waiting: Watch = {entrance, prefix, after, response};
-    watches.add(waiting);
+    const pending: Watch = {endpoint, prefix, after, response};
+    watches.add(pending);
     const timer = setTimeout(
       () => {
-        if (!watches.delete(waiting)) return;
+        if (!watches.delete(pending)) return;
         sendJson(response, 200, {events: [], atRev: revision});
       },
       Number(query.get('waitMs')),
@@ -191,16 +189,16 @@
     timer.unref();
     response.on('close', () => {
       clearTimeout(timer);
-      watches.delete(waiting);
+      watches.delete(pending);
     });
   };
 
   const handle = (
-    entrance: Entrance,
+    endpoint: Endpoint,
     request: IncomingMessage,
     response: ServerResponse,
   ): void => {
-    const {mode} = entrance;
+    const {mode} = endpoint;
     callsCount += 1;
     if (mode === 'silent') return;
     if (mode === 'reset') {
@@ -214,26 +212,26 @@
     const url = new URL(request.url ?? '/', 'http://store');
     const query = url.searchParams;
     if (url.pathname === '/kv-range') range(query, response);
-    else if (url.pathname === '/kv-watch') watch(entrance, query, response);
+    else if (url.pathname === '/kv-watch') watch(endpoint, query, response);
     else sendJson(response, 404, {error: 'unknown'});
   };
 
-  const setMode = (entrance: Entrance, mode: StoreMode): void => {
-    entrance.mode = mode;
-    if (mode !== 'healthy') cutWatches(waiting => waiting.entrance === entrance);
+  const setMode = (endpoint: Endpoint, mode: StoreMode): void => {
+    endpoint.mode = mode;
+    if (mode !== 'healthy') closeWatches(call => call.endpoint === endpoint);
   };
 
   const openEndpoint = async (): Promise<StoreEndpoint> => {
     const server = createServer((request, response) => {
-      handle(entrance, request, response);
+      handle(endpoint, request, response);
     });
-    const entrance: Entrance = {server, mode: 'healthy'};
-    entrances.push(entrance);
+    const endpoint: Endpoint = {server, mode: 'healthy'};
+    endpoints.push(endpoint);
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
     return {
       port: (server.address() as AddressInfo).port,
       setMode: mode => {
-        setMode(entrance, mode);
+        setMode(endpoint, mode);
       },
     };
   };
@@ -269,12 +267,12 @@
       record({key, rev: revision, deleted: true});
     },
     setMode: mode => {
-      for (const entrance of entrances) setMode(entrance, mode);
+      for (const endpoint of endpoints) setMode(endpoint, mode);
     },
     compact: () => {
       history = [];
       oldestRevision = revision;
-      cutWatches(() => true);
+      closeWatches(() => true);
     },
     takeSnapshot: () => ({
       items: new Map(items),
@@ -282,27 +280,27 @@
       oldestRevision,
       revision,
     }),
-    restore: copy => {
-      items = new Map(copy.items);
-      history = [...copy.history];
-      ({oldestRevision, revision} = copy);
+    restore: snapshot => {
+      items = new Map(snapshot.items);
+      history = [...snapshot.history];
+      ({oldestRevision, revision} = snapshot);
       era += 1;
-      cutWatches(() => true);
+      closeWatches(() => true);
     },
-    onSecondPage: act => {
-      actBeforeSecondPage = act;
+    onSecondPage: listener => {
+      secondPageListener = listener;
     },
     delayHistoryLost: count => {
-      holdCount = count;
+      delayedWatchesCount = count;
     },
     get longestDelayMillis() {
-      return longestHeldMillis;
+      return longestDelayMillis;
     },
     setPageSize: count => {
       pageItemsCount = count;
     },
     close: () => {
-      for (const {server} of entrances) {
+      for (const {server} of endpoints) {
         server.close();
         server.closeAllConnections();
       }
@@ -310,7 +308,7 @@
   };
 }
 
-/** Text as the store encodes values. */
+/** Encodes a text in the store's format for values. */
 export function encodeBase64(text: string): string {
   return Buffer.from(text).toString('base64');
 }
--- a/test/fakes/fake_upstream.ts
+++ b/test/fakes/fake_upstream.ts
@@ -1,12 +1,11 @@
 /**
- * A stand-in for an application's upstream on the platform.
+ * Fake of an application's upstream on the platform.
  */
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-/** One request as the upstream received it. */
 export interface ReceivedRequest {
   readonly attemptId: string;
   readonly method: string;
@@ -15,96 +14,94 @@
   readonly body: string;
   readonly socket: Socket;
   readonly response: ServerResponse;
-  /** Answers like a sound upstream. */
+  /** Responds with the headers and signature that nodes expect. */
   respond(statusCode: number, body: string): void;
 }
 
-/** What an upstream does with a request that it runs. */
+/** Handles a request that the upstream runs. */
 export type UpstreamHandler = (request: ReceivedRequest) => void;
 
-/** The stand-in. */
 export interface FakeUpstream {
   readonly id: string;
-  /** Ids of the attempts that its starts were handed, run or not, in order. */
+  /** Ids of all attempts received since the first start, run or not, in order. */
   readonly arrivedIds: readonly string[];
-  /** Ids of the attempts that its starts began to work on, in order. */
+  /** Ids of all attempts run since the first start, in order. */
   readonly runIds: readonly string[];
-  /** Most requests that it worked on at the same time. */
+  /** Maximum number of requests in flight at the same time. */
   readonly maxConcurrentCount: number;
-  /** Connections that were closed while a request was at work. */
+  /** Number of requests whose response was closed before it was complete. */
   readonly abortedCount: number;
-  setHandler(behaviour: UpstreamHandler): void;
-  /** Time after which it says that a request is meant for another one. */
+  setHandler(handler: UpstreamHandler): void;
+  /** Sets the delay of 421 responses to requests that expect another instance. */
   setMisdirectedDelayMillis(millis: number): void;
   /**
-   * Ends as in a crash and starts again, under the same id if none is given;
-   * what it held is lost, and its connections are reset.
+   * Closes all connections as in a crash and starts again, with the same id if none is
+   * given. Requests in flight are lost.
    */
   restart(nextId?: string): Promise<void>;
   /**
-   * Ends as in a crash whenever it begins to run one of these requests, and
-   * starts again later under a new id.
+   * Crashes whenever it starts to run a matching request, and starts again later with a
+   * new id.
    */
   crashOn(crash: CrashPlan): void;
-  /** Crashes so far. */
+  /** Number of crashes so far. */
   readonly crashesCount: number;
   close(): Promise<void>;
 }
 
-/** Which requests crash an upstream, and what follows. */
+/** Which requests crash an upstream, and the timing of the restart. */
 export interface CrashPlan {
   readonly isMatch: (request: ReceivedRequest) => boolean;
-  /** Time for which it works on the request before it ends. */
+  /** Time from the start of the request to the crash. */
   readonly afterMillis: number;
-  /** Time until it starts again. */
+  /** Time from the crash to the restart. */
   readonly downMillis: number;
-  /** It has started again under a new id. */
+  /** Called when the upstream is listening again with a new id. */
   readonly onStarted: () => void;
 }
 
-/** What an upstream is made of. */
 export interface FakeUpstreamOptions {
   readonly id: string;
   readonly address: string;
   readonly port: number;
 }
 
-/** Signature of every sound answer of one upstream. */
+/** Returns the signature that a valid response of an upstream carries. */
 export function signatureOf(id: string, attemptId: string): string {
   return `sig.${id}.${attemptId}`;
 }
 
-/** Starts an upstream that answers every request with 200. */
+/** Starts an upstream that responds to every request with 200. */
 export async function startFakeUpstream(
   options: FakeUpstreamOptions,
 ): Promise<FakeUpstream> {
   let {id} = options;
   const arrivedIds: string[] = [];
   const runIds: string[] = [];
-  let atWorkCount = 0;
-  let maxAtOnce = 0;
-  let cutCount = 0;
-  let denialMillis = 0;
+  let inFlightCount = 0;
+  let maxConcurrentCount = 0;
+  let abortedCount = 0;
+  let misdirectedDelayMillis = 0;
   let crashesCount = 0;
   let crashPlan: CrashPlan | undefined;
   let isClosed = false;
-  let behaviour: UpstreamHandler = request => {
+  let handler: UpstreamHandler = request => {
     request.respond(200, `body of ${request.attemptId}`);
   };
 
-  const run = (received: ReceivedRequest): void => {
-    runIds.push(received.attemptId);
-    atWorkCount += 1;
-    maxAtOnce = Math.max(maxAtOnce, atWorkCount);
-    received.response.once('close', () => {
-      atWorkCount -= 1;
-      if (!received.response.writableFinished) cutCount += 1;
+  const run = (request: ReceivedRequest): void => {
+    runIds.push(request.attemptId);
+    inFlightCount += 1;
+    maxConcurrentCount = Math.max(maxConcurrentCount, inFlightCount);
+    request.response.once('close', () => {
+      inFlightCount -= 1;
+      if (!request.response.writableFinished) abortedCount += 1;
     });
-    if (crashPlan?.isMatch(received) === true) {
+    if (crashPlan?.isMatch(request) === true) {
       void crash(crashPlan);
       return;
     }
-    behaviour(received);
+    handler(request);
   };
 
   const crash = async (plan: CrashPlan): Promise<void> => {
@@ -113,7 +110,7 @@
     if (isClosed || id !== crashedId) return;
     crashesCount += 1;
     id = `${options.id}-after-${String(crashesCount)}`;
-    await endAtOnce(server);
+    await closeServer(server);
     await sleep(plan.downMillis);
     if (isClosed) return;
     server = await listen(handle, options);
@@ -129,10 +126,10 @@
       const expected = request.headers['expect-instance'];
       if (expected !== undefined && expected !== id) {
         response.writeHead(421, {'instance-id': id});
-        setTimeout(() => response.end(), denialMillis);
+        setTimeout(() => response.end(), misdirectedDelayMillis);
         return;
       }
-      run(receivedRequest(id, request, response, chunks));
+      run(createReceivedRequest(id, request, response, chunks));
     });
   };
 
@@ -144,19 +141,19 @@
     arrivedIds,
     runIds,
     get maxConcurrentCount() {
-      return maxAtOnce;
+      return maxConcurrentCount;
     },
     get abortedCount() {
-      return cutCount;
+      return abortedCount;
     },
     setHandler: next => {
-      behaviour = next;
+      handler = next;
     },
     setMisdirectedDelayMillis: millis => {
-      denialMillis = millis;
+      misdirectedDelayMillis = millis;
     },
     restart: async (nextId = id) => {
-      await endAtOnce(server);
+      await closeServer(server);
       id = nextId;
       server = await listen(handle, options);
     },
@@ -168,7 +165,7 @@
     },
     close: () => {
       isClosed = true;
-      return endAtOnce(server);
+      return closeServer(server);
     },
   };
 }
@@ -188,7 +185,7 @@
   });
 }
 
-function endAtOnce(server: Server): Promise<void> {
+function closeServer(server: Server): Promise<void> {
   return new Promise(resolve => {
     server.close(() => {
       resolve();
@@ -197,7 +194,7 @@
   });
 }
 
-function receivedRequest(
+function createReceivedRequest(
   id: string,
   request: IncomingMessage,
   response: ServerResponse,
--- a/test/fakes/fleet_client.ts
+++ b/test/fakes/fleet_client.ts
@@ -1,9 +1,8 @@
 /**
- * A client of a fleet on the platform, with a connection for each request.
+ * HTTP client of a fleet on the platform; opens a connection for each request.
  */
 import http from 'node:http';
 
-/** A request of a client. */
 export interface ClientRequest {
   readonly attemptId: string;
   readonly method?: string;
@@ -13,19 +12,18 @@
   readonly body?: string;
 }
 
-/** What a client received. */
 export interface ClientResponse {
   readonly statusCode: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** The answer broke off before its end. */
+  /** The connection was closed before the end of the response. */
   readonly isIncomplete: boolean;
 }
 
-/** Name under which clients address every route. */
+/** Host name of all routes. */
 export const FLEET_HOST_NAME = 'shop.example';
 
-/** Sends a request to a node, as its clients do. */
+/** Sends a request to a node; rejects if no response begins. */
 export function sendRequest(
   address: string,
   port: number,
--- a/test/fakes/fleet_load.ts
+++ b/test/fakes/fleet_load.ts
@@ -1,20 +1,19 @@
 /**
- * A load on a fleet of nodes, and what is counted of it by second.
+ * Input of a fleet simulation, and its results per second.
  */
 
-/** A service and its upstreams, one for each speed. */
+/** A service with one upstream for each speed. */
 export interface SimulatedService {
   readonly name: string;
   readonly slotsCount: number;
-  /** Work that an upstream does in a millisecond, by upstream. */
+  /** Milliseconds of work that an upstream does in a millisecond, by upstream. */
   readonly speeds: readonly number[];
-  /** Share of what it is handed that an upstream rejects, by upstream. */
+  /** Ratio of dispatched requests that an upstream rejects, by upstream. */
   readonly rejectRatios?: readonly number[];
-  /** Since when they do; from the start if left out. */
+  /** Time from which upstreams reject requests; the default is the start. */
   readonly rejectFromMillis?: number;
 }
 
-/** What requests of one route do. */
 export interface SimulatedRoute {
   readonly name: string;
   readonly service: string;
@@ -22,19 +21,17 @@
   readonly workMillis: number;
   readonly timeoutMillis: number;
   readonly objectiveMillis: number;
-  /** Routes that its upstream calls, one after the other. */
+  /** Routes that the upstream calls in sequence. */
   readonly calls: readonly string[];
 }
 
-/** Clients of one route. */
 export interface SimulatedClients {
   readonly route: string;
   readonly perSecond: number;
-  /** Time that a client has for its request and one more try. */
+  /** Time until a client gives up, including one retry of its own. */
   readonly totalTimeoutMillis: number;
 }
 
-/** A load on a fleet. */
 export interface SimulationOptions {
   readonly services: readonly SimulatedService[];
   readonly routes: readonly SimulatedRoute[];
@@ -43,7 +40,7 @@
   readonly seed: number;
 }
 
-/** What became of the requests that began in one second. */
+/** Results of the requests that clients first sent within one second. */
 export interface RouteCounts {
   sentCount: number;
   inTimeCount: number;
@@ -52,35 +49,35 @@
   failedCount: number;
 }
 
-/** What a service worked on in one second. */
+/** Runs that the upstreams of a service started within one second. */
 export interface ServiceCounts {
   runCount: number;
-  /** Runs that ended well, and the request at the root of them too. */
+  /** Runs that succeeded as part of a client request that succeeded. */
   usefulCount: number;
 }
 
-/** Outcomes by second. */
+/** Counts by name of the route or service, with one entry for each second. */
 export interface SimulationResult {
   readonly routes: ReadonlyMap<string, readonly RouteCounts[]>;
   readonly services: ReadonlyMap<string, readonly ServiceCounts[]>;
 }
 
-/** Sums what is counted by second, from a second on. */
+/** Sums the counts of all seconds from `fromSecond` on. */
 export function sumSeconds<T extends {[K in keyof T]: number}>(
   seconds: readonly T[],
-  from: number,
+  fromSecond: number,
 ): T {
   const sum = {...seconds[0]!};
   for (const key of Object.keys(sum) as (keyof T)[]) {
     const total = seconds
-      .slice(from)
+      .slice(fromSecond)
       .reduce((count, second) => count + second[key], 0);
     sum[key] = total as T[keyof T];
   }
   return sum;
 }
 
-/** Nothing counted for each second. */
+/** Returns zero counts for so many seconds. */
 export function createRouteCounts(count: number): RouteCounts[] {
   return Array.from({length: count}, () => ({
     sentCount: 0,
@@ -91,12 +88,12 @@
   }));
 }
 
-/** Nothing counted for each second. */
+/** Returns zero counts for so many seconds. */
 export function createServiceCounts(count: number): ServiceCounts[] {
   return Array.from({length: count}, () => ({runCount: 0, usefulCount: 0}));
 }
 
-/** Adds calls by service. */
+/** Adds counts by service to `sums`. */
 export function addCounts(
   sums: Map<string, number>,
   counts: ReadonlyMap<string, number>,
--- a/test/fakes/fleet_simulation.ts
+++ b/test/fakes/fleet_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * A fleet of nodes without input and output: upstreams with slots, and beside
- * each a node that decides with the project's own modules. Clients enter at all
- * nodes; loads travel with answers only.
+ * Simulates a fleet in memory: upstreams with slots, each with a node that uses the
+ * admission, placement and retry modules of the daemon. Clients send requests to all
+ * nodes; nodes receive load reports with responses and by polling only.
  */
 import {LEVEL_WINDOW_MILLIS} from '../../src/process/admission/admission_level.js';
 import {importanceOf} from '../../src/process/admission/importance.js';
@@ -33,72 +33,77 @@
 import type {SimulatedNode} from './simulated_node.js';
 import {createSimulatedNodes} from './simulated_node.js';
 
-/** Time that a message takes from one node to another. */
+/** Latency of a message from one node to another. */
 const HOP_MILLIS = 1;
 
-/** As the nodes do it. */
-const WAIT_RATIO = 0.25;
-const RETURN_EARLIEST_RATIO = 0.2;
-const RETURN_LATEST_RATIO = 0.7;
+/**
+ * Ratio of the latency objective for which a request may wait in the queue, and range of
+ * the time until a client retries a rejected request; as in the daemon.
+ */
+const QUEUE_WAIT_RATIO = 0.25;
+const RETRY_DELAY_MINIMUM_RATIO = 0.2;
+const RETRY_DELAY_MAXIMUM_RATIO = 0.7;
 
-/** Time in which an upstream rejects a request. */
+/** Time until an upstream rejects a request. */
 const REJECT_MILLIS = 1;
 
-/** Spread of the work of requests, as the sigma of a log-normal. */
+/** Sigma of the log-normal distribution of the work of requests. */
 const WORK_SIGMA = 0.5;
 
 const SECOND_MILLIS = 1000;
 
-/** Replays a load on a fleet that has just started. */
+/** Simulates a load on a fleet that has just started. */
 export function simulateFleet(options: SimulationOptions): SimulationResult {
   const clock = createEventClock();
   const {nowMillis} = clock;
   const random = createSeededRandom(options.seed);
   const routes = new Map(options.routes.map(route => [route.name, route]));
   const secondsCount = Math.ceil(options.durationMillis / SECOND_MILLIS);
-  const outcomes = new Map(
+  const routeCounts = new Map(
     options.clients.map(({route}) => [route, createRouteCounts(secondsCount)]),
   );
-  const runs = new Map(
+  const serviceCounts = new Map(
     options.services.map(({name}) => [name, createServiceCounts(secondsCount)]),
   );
-  let idsCount = 0;
+  let requestsCount = 0;
 
-  const secondOf = (millis: number): number =>
+  const secondIndexOf = (millis: number): number =>
     Math.min(secondsCount - 1, Math.floor(millis / SECOND_MILLIS));
 
   const nodes = createSimulatedNodes(options.services, {
     nowMillis,
     random: random.next,
   });
-  const nodeOf = new Map(nodes.map(node => [node.own.id, node]));
+  const nodesById = new Map(nodes.map(node => [node.own.id, node]));
 
   const startWork = (node: SimulatedNode, call: Call): void => {
     const {root, route} = call;
     const startedMillis = nowMillis();
-    const second = runs.get(node.own.service)![secondOf(startedMillis)]!;
+    const second = serviceCounts.get(node.own.service)![
+      secondIndexOf(startedMillis)
+    ]!;
     second.runCount += 1;
     const run: Run = {second, isServed: false};
-    root.runs.push(run);
+    root.serviceCounts.push(run);
     const counts = new Map<string, number>();
     let isOver = false;
     const finish = (end: CallResult): void => {
       if (isOver) return;
       isOver = true;
-      callOffDeadline();
-      // What a caller cancels says nothing about the upstream's time.
+      cancelDeadlineTimer();
+      // The time until a caller cancels is no sample of the upstream's response time.
       if (nowMillis() < call.deadlineMillis) {
-        const heldMillis = nowMillis() - startedMillis;
-        node.queue.release(heldMillis);
+        const runMillis = nowMillis() - startedMillis;
+        node.queue.release(runMillis);
         const {usualMillis} = call;
-        if (usualMillis) node.slowness.observe(heldMillis, usualMillis);
+        if (usualMillis) node.slowness.observe(runMillis, usualMillis);
       } else {
         node.queue.releaseWithoutSample();
       }
       run.isServed = end === 'served';
       call.onEnd(end, counts);
     };
-    const callOffDeadline = clock.schedule(
+    const cancelDeadlineTimer = clock.schedule(
       call.deadlineMillis - startedMillis,
       () => {
         finish('failed');
@@ -122,9 +127,9 @@
         route: next,
         deadlineMillis,
         startByMillis: deadlineMillis,
-        onEnd: (end, below) => {
+        onEnd: (end, nestedCounts) => {
           addCounts(counts, new Map([[next.service, 1]]));
-          addCounts(counts, below);
+          addCounts(counts, nestedCounts);
           if (end === 'served') callNext(index + 1);
           else finish('failed');
         },
@@ -142,7 +147,7 @@
   const execute = (
     node: SimulatedNode,
     call: Call,
-    onVerdict: (verdict: StartResult) => void,
+    onStartResult: (startResult: StartResult) => void,
   ): void => {
     node.level.recordArrival(
       call.root.importance,
@@ -154,11 +159,11 @@
         clock.schedule(REJECT_MILLIS, () => {
           node.queue.releaseWithoutSample();
           node.rejections.recordRejected();
-          onVerdict('rejected');
+          onStartResult('rejected');
         });
         return;
       }
-      onVerdict('started');
+      onStartResult('started');
       startWork(node, call);
     };
     const slot = {
@@ -166,23 +171,23 @@
       beganAtMillis: call.root.beganAtMillis,
       startByMillis: Math.min(call.startByMillis, call.deadlineMillis - 8),
       start: () => {
-        callOff();
+        cancelTimer();
         start();
       },
       expire: () => {
-        callOff();
-        onVerdict('too-late');
+        cancelTimer();
+        onStartResult('too-late');
       },
     };
-    let callOff: () => void = () => undefined;
-    const verdict = node.queue.offer(slot);
-    if (verdict === 'started') {
+    let cancelTimer: () => void = () => undefined;
+    const startResult = node.queue.offer(slot);
+    if (startResult === 'started') {
       start();
-    } else if (verdict === 'refused') {
-      onVerdict('queue-full');
+    } else if (startResult === 'refused') {
+      onStartResult('queue-full');
     } else {
-      callOff = clock.schedule(slot.startByMillis - nowMillis(), () => {
-        if (node.queue.withdraw(slot)) onVerdict('too-late');
+      cancelTimer = clock.schedule(slot.startByMillis - nowMillis(), () => {
+        if (node.queue.withdraw(slot)) onStartResult('too-late');
       });
     }
   };
@@ -209,26 +214,26 @@
       }
       const {id} = placement.upstream.entry;
       history.begin(id);
-      const node = nodeOf.get(id)!;
-      const isNear = node === from;
-      const delayMillis = isNear ? 0 : HOP_MILLIS;
-      const learn = (): void => {
-        if (isNear) return;
+      const node = nodesById.get(id)!;
+      const isLocalNode = node === from;
+      const delayMillis = isLocalNode ? 0 : HOP_MILLIS;
+      const observeLoads = (): void => {
+        if (isLocalNode) return;
         for (const load of node.loadsFor(from.own.id)) {
           from.loadTable.observe(load);
         }
       };
-      const goOn = (verdict: StartResult): void => {
-        learn();
-        placement.end(verdict === 'rejected' ? 'failed' : 'neutral');
-        history.end(verdict === 'rejected' ? 'rejected' : 'full');
+      const handleNotStarted = (startResult: StartResult): void => {
+        observeLoads();
+        placement.end(startResult === 'rejected' ? 'failed' : 'neutral');
+        history.end(startResult === 'rejected' ? 'rejected' : 'full');
         const {grant} = call.root;
-        const mayOffer =
-          verdict !== 'rejected' ||
+        const mayRetry =
+          startResult !== 'rejected' ||
           (grant.remaining() > 0 &&
             from.budget.tryTakePaced(charge) &&
             grant.trySpend());
-        if (mayOffer) offer();
+        if (mayRetry) offer();
         else call.onEnd('refused', new Map());
       };
       clock.schedule(delayMillis, () => {
@@ -239,7 +244,7 @@
             usualMillis,
             onEnd: (end, calls) => {
               clock.schedule(delayMillis, () => {
-                learn();
+                observeLoads();
                 if (end === 'served') {
                   from.attemptTimeouts.recordResponse(
                     name,
@@ -251,10 +256,10 @@
               });
             },
           },
-          verdict => {
-            if (verdict === 'started') return;
+          startResult => {
+            if (startResult === 'started') return;
             clock.schedule(delayMillis, () => {
-              goOn(verdict);
+              handleNotStarted(startResult);
             });
           },
         );
@@ -266,40 +271,43 @@
   const enter = (
     clients: SimulatedClients,
     firstMillis: number,
-    triesCount: number,
+    attemptsCount: number,
   ): void => {
     const node = nodes[Math.floor(random.next() * nodes.length)]!;
     const route = routes.get(clients.route)!;
-    idsCount += 1;
-    const id = `${options.seed}-${Math.imul(idsCount, 0x9e3779b1) >>> 0}`;
-    const outcome = outcomes.get(route.name)![secondOf(firstMillis)]!;
+    requestsCount += 1;
+    const id = `${options.seed}-${Math.imul(requestsCount, 0x9e3779b1) >>> 0}`;
+    const secondCounts = routeCounts.get(route.name)![
+      secondIndexOf(firstMillis)
+    ]!;
     const root: RootRequest = {
       id,
       importance: importanceOf(route.rank, id),
       beganAtMillis: nowMillis(),
       grant: createRetryGrant(DEFAULT_RETRIES_COUNT),
-      runs: [],
+      serviceCounts: [],
     };
-    const refuse = (): void => {
+    const handleRefused = (): void => {
       const leftMillis = firstMillis + clients.totalTimeoutMillis - nowMillis();
-      const width = RETURN_LATEST_RATIO - RETURN_EARLIEST_RATIO;
-      const wantedMillis =
-        route.objectiveMillis * (RETURN_EARLIEST_RATIO + width * random.next());
-      if (triesCount >= 2 || leftMillis <= 0) {
-        outcome.refusedCount += 1;
+      const width = RETRY_DELAY_MAXIMUM_RATIO - RETRY_DELAY_MINIMUM_RATIO;
+      const delayMillis =
+        route.objectiveMillis *
+        (RETRY_DELAY_MINIMUM_RATIO + width * random.next());
+      if (attemptsCount >= 2 || leftMillis <= 0) {
+        secondCounts.refusedCount += 1;
         return;
       }
-      clock.schedule(Math.min(wantedMillis, leftMillis / 3), () => {
-        enter(clients, firstMillis, triesCount + 1);
+      clock.schedule(Math.min(delayMillis, leftMillis / 3), () => {
+        enter(clients, firstMillis, attemptsCount + 1);
       });
     };
     const tree = node.trees.callCountsOf(route.name);
     node.budget.recordRequest(new Map([[route.service, 1]]));
-    const gated = {importance: root.importance, attemptId: id};
-    const cause = node.entryAdmission.shedCause(gated, route.service, tree);
+    const request = {importance: root.importance, attemptId: id};
+    const cause = node.entryAdmission.shedCause(request, route.service, tree);
     if (cause !== undefined) {
       node.loadPoller.recordShed(cause.service);
-      refuse();
+      handleRefused();
       return;
     }
     node.budget.recordExpectedCalls(downstreamCallCounts(tree, route.service));
@@ -307,36 +315,36 @@
       root,
       route,
       deadlineMillis: nowMillis() + route.timeoutMillis,
-      startByMillis: nowMillis() + route.objectiveMillis * WAIT_RATIO,
+      startByMillis: nowMillis() + route.objectiveMillis * QUEUE_WAIT_RATIO,
       onEnd: (end, calls) => {
         if (end === 'served') {
           const counts = new Map(calls);
           addCounts(counts, new Map([[route.service, 1]]));
           node.trees.observe(route.name, counts);
           const millis = nowMillis() - firstMillis;
-          if (millis <= route.objectiveMillis) outcome.inTimeCount += 1;
-          else outcome.lateCount += 1;
+          if (millis <= route.objectiveMillis) secondCounts.inTimeCount += 1;
+          else secondCounts.lateCount += 1;
           countUsefulRuns(root);
-        } else if (root.runs.length === 0) {
-          refuse();
+        } else if (root.serviceCounts.length === 0) {
+          handleRefused();
         } else {
           node.trees.observeFailed(route.name, calls);
-          outcome.failedCount += 1;
+          secondCounts.failedCount += 1;
         }
       },
     });
   };
 
-  /** Asks one node of each service whose loads are heard of no more. */
-  const askLoads = (node: SimulatedNode): void => {
+  /** Polls one node of each service without recent load reports. */
+  const pollLoads = (node: SimulatedNode): void => {
     for (const service of node.loadPoller.dueServices()) {
       const others = nodes.filter(
         other => other !== node && other.own.service === service,
       );
-      const asked = others[Math.floor(random.next() * others.length)];
-      if (asked === undefined) continue;
+      const target = others[Math.floor(random.next() * others.length)];
+      if (target === undefined) continue;
       clock.schedule(2 * HOP_MILLIS, () => {
-        for (const load of asked.loads()) node.loadTable.observe(load);
+        for (const load of target.loads()) node.loadTable.observe(load);
       });
     }
   };
@@ -344,7 +352,8 @@
   for (const clients of options.clients) {
     const next = (): void => {
       if (nowMillis() >= options.durationMillis) return;
-      outcomes.get(clients.route)![secondOf(nowMillis())]!.sentCount += 1;
+      routeCounts.get(clients.route)![secondIndexOf(nowMillis())]!.sentCount +=
+        1;
       enter(clients, nowMillis(), 1);
       clock.schedule(
         random.exponential(SECOND_MILLIS / clients.perSecond),
@@ -356,7 +365,7 @@
   nodes.forEach(node => {
     const tick = (): void => {
       node.updateLevel();
-      askLoads(node);
+      pollLoads(node);
       if (nowMillis() < options.durationMillis) {
         clock.schedule(LEVEL_WINDOW_MILLIS, tick);
       }
@@ -364,5 +373,5 @@
     clock.schedule(LEVEL_WINDOW_MILLIS * random.next(), tick);
   });
   clock.runUntil(options.durationMillis + 3000);
-  return {routes: outcomes, services: runs};
+  return {routes: routeCounts, services: serviceCounts};
 }
--- a/test/fakes/follower_simulation.ts
+++ b/test/fakes/follower_simulation.ts
@@ -1,5 +1,5 @@
 /**
- * A follower of a replayed source, on a clock that moves in steps.
+ * Runs a document follower on a simulated source, on a clock that advances in steps.
  */
 import * as Effect from 'effect/Effect';
 import * as TestClock from 'effect/testing/TestClock';
@@ -7,7 +7,6 @@
 import {followDocuments} from '../../src/connection/document_follower.js';
 import type {SimulatedSource} from './simulated_source.js';
 
-/** What a replay needs. */
 export interface FollowerSimulationOptions extends Omit<
   DocumentFollowerOptions,
   'source' | 'nowMillis'
@@ -16,16 +15,16 @@
   readonly clock: ManualClock;
   readonly stepMillis: number;
   readonly endMillis: number;
-  /** Called at each step, before the source answers. */
+  /** Called at each step, before the source responds. */
   readonly onStep: (atMillis: number) => void;
 }
 
-/** A clock that a replay moves. */
+/** Current time, advanced by the simulation. */
 export interface ManualClock {
   millis: number;
 }
 
-/** Follows the source to the end. */
+/** Follows the source until `endMillis`. */
 export async function simulateFollower(
   options: FollowerSimulationOptions,
 ): Promise<void> {
@@ -34,7 +33,7 @@
     ...options,
     nowMillis: () => clock.millis,
   });
-  const moved = Effect.gen(function* () {
+  const program = Effect.gen(function* () {
     yield* Effect.forkChild(follower);
     while (clock.millis < options.endMillis) {
       clock.millis += stepMillis;
@@ -44,5 +43,5 @@
       yield* TestClock.adjust(stepMillis);
     }
   });
-  await Effect.runPromise(Effect.provide(moved, TestClock.layer()));
+  await Effect.runPromise(Effect.provide(program, TestClock.layer()));
 }
--- a/test/fakes/free_ports.ts
+++ b/test/fakes/free_ports.ts
@@ -1,10 +1,13 @@
 /**
- * Ports that nobody uses.
+ * Finds unused TCP ports.
  */
 import type {AddressInfo} from 'node:net';
 import {createServer} from 'node:net';
 
-/** Ports that are free on an address, all at the same time. */
+/**
+ * Returns distinct ports that are free on an address. They are not reserved: another
+ * process may bind one before the caller does.
+ */
 export async function freePorts(
   address: string,
   count: number,
--- a/test/fakes/hop_fixture.ts
+++ b/test/fakes/hop_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * A sender and a listener of requests between nodes, with a relay between them.
+ * Sender and listener of requests between nodes, connected through a faulty link.
  */
 import type {Readable} from 'node:stream';
 import type {ExecutionContext} from 'ava';
@@ -17,12 +17,12 @@
 import {createFaultyLink} from '../../src/emulator/faulty_link.js';
 
 const ADDRESS = '127.0.0.1';
-const NOTHING = Buffer.alloc(0);
-/** Bound on the body of a request. */
+const EMPTY_BODY = Buffer.alloc(0);
+/** Maximum size of a request body. */
 export const MAX_BODY_BYTES = 1_000_000;
 const nowMillis = (): number => performance.now();
 
-/** A node that executes what `handle` is given, with a relay in front. */
+/** Starts a listener that passes requests to `handle`, and a peer that sends to it. */
 export async function createHopFixture(
   t: ExecutionContext,
   handle: (arrival: IncomingHop) => Promise<void>,
@@ -45,7 +45,7 @@
   const listener = await listen('first');
   const link = await createFaultyLink({targetPort: listener.port});
   const endpoint = {address: ADDRESS, port: link.port};
-  const watch = createPeerMonitor({
+  const monitor = createPeerMonitor({
     nowMillis,
     onPeerLost: () => undefined,
     onPeerFound: () => undefined,
@@ -55,7 +55,7 @@
     endpoint,
     nowMillis,
     onDataReceived: () => {
-      signs.recordActivity();
+      activity.recordActivity();
     },
     onLoads: () => undefined,
     onChanges: () => undefined,
@@ -63,23 +63,23 @@
       replacedCount += count;
     },
   });
-  const signs = watch.add(peer);
+  const activity = monitor.add(peer);
   t.teardown(async () => {
-    watch.dispose();
+    monitor.dispose();
     peer.dispose();
     link.close();
     await listener.close();
   });
 
   /** Sends a request; `ended` resolves with its result. */
-  const send = (isRepeatable: boolean, body = NOTHING): SentHop => {
+  const send = (isRepeatable: boolean, body = EMPTY_BODY): SentHop => {
     let hop: OutgoingHop | undefined;
     const ended = new Promise<HopResult>(resolve => {
       hop = createOutgoingHop({
         body,
         startedMillis: nowMillis(),
         onEnd: resolve,
-        request: requestOf(isRepeatable),
+        request: createHopRequest(isRepeatable),
       });
       peer.send(hop);
     });
@@ -100,13 +100,13 @@
   };
 }
 
-/** A request on its way. */
+/** A request in flight. */
 export interface SentHop {
   readonly ended: Promise<HopResult>;
   cancel(): void;
 }
 
-function requestOf(isRepeatable: boolean) {
+function createHopRequest(isRepeatable: boolean) {
   return {
     attemptId: 'a',
     upstreamId: 'u',
@@ -128,7 +128,7 @@
   };
 }
 
-/** Answers with a text, and the rest if there is one. */
+/** Responds with a text, and with the rest of the body if there is one. */
 export function respondWith(
   arrival: IncomingHop,
   text: string,
@@ -154,7 +154,7 @@
   });
 }
 
-/** The beginning of the answer, or how the request ended without one. */
+/** Returns the start of the response body, or the kind and reason of the failure. */
 export function describeResult(end: HopResult): string {
   if (end.kind !== 'answer') return `${end.kind} ${end.reason}`;
   return end.received?.bodyStart.toString() ?? 'no answer';
--- a/test/fakes/minimal_settings.ts
+++ b/test/fakes/minimal_settings.ts
@@ -1,8 +1,8 @@
 /**
- * The smallest settings file that is valid, with ports chosen by the system.
+ * Minimal valid settings files, with ports chosen by the operating system.
  */
 
-/** JSON value of a settings file with only the required fields. */
+/** Returns the JSON value of a settings file with only the required fields. */
 export function minimalSettings() {
   return {
     hostName: 'orderdesk-1',
@@ -20,7 +20,7 @@
   };
 }
 
-/** Content of a settings file: the minimal one with fields replaced. */
+/** Returns the content of a minimal settings file with some top-level fields replaced. */
 export function settingsBytes(
   replaced: Readonly<Record<string, unknown>> = {},
 ): Uint8Array {
--- a/test/fakes/node_process.ts
+++ b/test/fakes/node_process.ts
@@ -1,5 +1,5 @@
 /**
- * A node as a process of its own, with what it logs and what it has cost so far.
+ * Runs a node in a child process and measures its CPU time.
  */
 import type {ChildProcess} from 'node:child_process';
 import {spawn} from 'node:child_process';
@@ -9,12 +9,12 @@
 import {stringify} from 'yaml';
 import {SETTINGS_VARIABLE} from '../../platform/wire_names.js';
 
-/** What a process has cost since its start. */
+/** Resources that a process has used since its start. */
 export interface ProcessCost {
   readonly cpuMillis: number;
-  /** Part of it in the process's own code, not in the kernel for it. */
+  /** CPU time in user mode, with the resolution of the kernel's ticks. */
   readonly userCpuMillis: number;
-  /** Times that it was woken after it had waited. */
+  /** Voluntary context switches: wakeups after a wait. */
   readonly wakeupsCount: number;
 }
 
@@ -23,25 +23,24 @@
   readonly address: string;
   cost(): ProcessCost;
   stop(): void;
-  /** Ends it without a word. */
+  /** Sends SIGKILL. */
   kill(): void;
 }
 
-/** Where a node is and what it speaks to. */
 export interface NodeProcessOptions {
-  /** A bundle, or the built program. */
+  /** Path of a bundle, or of the compiled entry point. */
   readonly programPath: string;
-  /** Flags of the runtime, for example those of a profile. */
+  /** Additional Node.js flags, for example for profiling. */
   readonly runtimeFlags: readonly string[];
   readonly directory: string;
   readonly address: string;
   readonly service: string;
   readonly ports: NodePorts;
-  /** Called with each line that it logs; left out, lines are not read. */
+  /** Called with each log line; if omitted, the output is discarded. */
   readonly onLine?: (line: Readonly<Record<string, unknown>>) => void;
 }
 
-/** Ports, the same on every address of a fleet. */
+/** Ports, the same for all addresses of a fleet. */
 export interface NodePorts {
   readonly app: number;
   readonly inbound: number;
@@ -50,14 +49,14 @@
   readonly store: number;
 }
 
-/** The heap bounds of the deployment. */
+/** Heap limits of the deployment. */
 const HEAP_FLAGS = ['--max-old-space-size=160', '--max-semi-space-size=2'];
 
-/** Starts a node; it is ready later. */
+/** Starts a node, without waiting until it is ready. */
 export function startNodeProcess(options: NodeProcessOptions): NodeProcess {
   const {directory, address, onLine} = options;
   const settingsPath = join(directory, `${address}.yaml`);
-  writeFileSync(settingsPath, stringify(settingsOf(options)));
+  writeFileSync(settingsPath, stringify(createSettings(options)));
   const child = spawn(
     process.execPath,
     [...HEAP_FLAGS, ...options.runtimeFlags, options.programPath],
@@ -84,7 +83,7 @@
   };
 }
 
-function settingsOf({address, service, ports}: NodeProcessOptions): object {
+function createSettings({address, service, ports}: NodeProcessOptions): object {
   const at = (port: number): string => `${address}:${String(port)}`;
   return {
     node: address,
@@ -106,7 +105,10 @@
 
 const NANOS_PER_MILLI = 1e6;
 
-/** Sums over all threads: those of the runtime compile and collect garbage. */
+/**
+ * Sums over all threads, because Node.js compiles and collects garbage in threads of its
+ * own.
+ */
 function readCost({pid}: ChildProcess): ProcessCost {
   const tasks = `/proc/${String(pid)}/task`;
   let cpuMillis = 0;
@@ -118,20 +120,20 @@
     ).split(' ');
     cpuMillis += Number(nanos) / NANOS_PER_MILLI;
     const status = readFileSync(join(tasks, task, 'status'), 'utf8');
-    const waits = /^voluntary_ctxt_switches:\s*(\d+)/m.exec(status)?.[1];
-    wakeupsCount += Number(waits ?? 0);
+    const switches = /^voluntary_ctxt_switches:\s*(\d+)/m.exec(status)?.[1];
+    wakeupsCount += Number(switches ?? 0);
   }
-  return {cpuMillis, userCpuMillis: readOwnMillis(pid), wakeupsCount};
+  return {cpuMillis, userCpuMillis: readUserCpuMillis(pid), wakeupsCount};
 }
 
-/** The kernel tells it in ticks of 10 ms. */
+/** The kernel reports the time in ticks of 10 ms. */
 const TICK_MILLIS = 10;
 
-/** Place of the ticks in the process's own code behind the program's name. */
-const OWN_TICKS_FIELD = 11;
+/** Index of the user mode ticks (utime) after the program name in /proc/PID/stat. */
+const USER_TICKS_FIELD_INDEX = 11;
 
-function readOwnMillis(pid: number | undefined): number {
+function readUserCpuMillis(pid: number | undefined): number {
   const line = readFileSync(`/proc/${String(pid)}/stat`, 'utf8');
   const fields = line.slice(line.lastIndexOf(')') + 2).split(' ');
-  return Number(fields[OWN_TICKS_FIELD]) * TICK_MILLIS;
+  return Number(fields[USER_TICKS_FIELD_INDEX]) * TICK_MILLIS;
 }
--- a/test/fakes/placement_node.ts
+++ b/test/fakes/placement_node.ts
@@ -1,11 +1,11 @@
 /**
- * The chooser of one node in zone a, on a clock that the test moves.
+ * Placement chooser of one node in zone a, on a clock that the test advances.
  */
 import {createLoadTable} from '../../src/process/admission/load_table.js';
 import {createUpstreamDirectory} from '../../src/process/membership/upstream_directory.js';
 import {createPlacementChooser} from '../../src/process/placement/placement.js';
 
-/** Creates the chooser of a node that knows no upstreams. */
+/** Creates a chooser with an empty upstream directory. */
 export function createPlacementNode(random: () => number) {
   let now = 10_000;
   const nowMillis = (): number => now;
--- a/test/fakes/platform_fleet.ts
+++ b/test/fakes/platform_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A small fleet on the platform in one process: a store, and hosts of one
- * upstream and one node each, every host with a loopback address of its own.
+ * A small fleet on the platform in one process: a fake store, and hosts with one fake
+ * upstream and one node each. Each host has its own loopback address.
  */
 import {createPublishedDocuments} from '../../platform/documents.js';
 import {HEADERS} from '../../platform/wire_names.js';
@@ -20,36 +20,34 @@
 import {createFakeStore} from './fake_store.js';
 import {waitUntil} from './wait_until.js';
 
-/** One host. */
 export interface FleetHost {
   readonly address: string;
   readonly service: string;
   readonly upstream: FakeUpstream;
   readonly node: ServiceNode;
-  /** Where the node reaches the store; no other host does there. */
+  /** Endpoint of the store that only this host's node uses. */
   readonly storeEndpoint: StoreEndpoint;
   readonly events: readonly LoggedEvent[];
   readonly metrics: NodeMetrics;
 }
 
-/** One line that a node would have logged. */
+/** A log event of a node. */
 export interface LoggedEvent {
   readonly event: string;
   readonly fields: DecisionFields;
 }
 
-/** The fleet. */
 export interface PlatformFleet {
   readonly store: FakeStore;
   readonly hosts: readonly FleetHost[];
   readonly outboundPort: number;
   /** Port of every upstream. */
   readonly appPort: number;
-  /** Sends a request to the node of a host, as its clients do. */
+  /** Sends a client request to the node of a host. */
   send(host: FleetHost, request: ClientRequest): Promise<ClientResponse>;
   /**
-   * Publishes a configuration with the given routes as the next version; it
-   * names the services of all hosts, and the organisations of `fields`.
+   * Publishes a configuration with these routes as the next version. By default it
+   * declares the services of all hosts.
    */
   configure(paths: readonly object[], fields?: ConfigurationFields): void;
   /** Publishes the state of a host's upstream. */
@@ -58,39 +56,38 @@
   close(): Promise<void>;
 }
 
-/** What a configuration holds beside its routes. */
+/** Fields of a configuration other than its routes. */
 export interface ConfigurationFields {
-  /** Organisations as operators write them; the field is left out without any. */
+  /** Organisations in the operator's format; the field is omitted if undefined. */
   readonly tenants?: readonly object[];
-  /** Services that it names, if not those of all hosts. */
+  /** Declared services; the default is the services of all hosts. */
   readonly declaredServices?: readonly string[];
   /** Version to publish instead of the next one. */
   readonly version?: number;
 }
 
-/** What an entry says, where it differs from a ready upstream of 20 slots. */
+/** Fields of an entry; the default is a ready upstream with 20 slots. */
 export interface EntryFields {
   readonly state?: string;
   readonly slots?: number;
-  /** Unix millisecond of the start; older publishers tell none. */
+  /** Unix time of the start in milliseconds; older publishers omit it. */
   readonly born?: number;
-  /** Counts the entries of one start. */
+  /** Sequence number of the entry within one start. */
   readonly seq?: number;
   readonly coldLeftS?: number;
 }
 
-/** A fleet to start. */
 export interface FleetOptions {
-  /** Service of each host. */
+  /** Service of each host, one host for each element. */
   readonly services: readonly string[];
-  /** Routes of the first version; none is published if left out. */
+  /** Routes of the first version; if omitted, no configuration is published. */
   readonly paths?: readonly object[];
-  /** Services that the first version names, if not those of all hosts. */
+  /** Services that the first version declares; the default is the services of all hosts. */
   readonly declaredServices?: readonly string[];
   /** Organisations of the first version. */
   readonly tenants?: readonly object[];
   readonly slots?: number;
-  /** Time in which a document has to be in force; changes gather for most of it. */
+  /** Time within which a document must take effect; changes are batched for most of it. */
   readonly applyWithinMillis?: number;
   /** Retries that the fleet may send beyond the ratio; the default is rarely reached. */
   readonly slackCount?: number;
@@ -99,7 +96,7 @@
 /** Retries that the fleet may send per request. */
 export const RETRY_RATIO = 0.2;
 
-/** A route as operators write it. */
+/** Returns a route in the operator's format. */
 export function createPath(fields: object = {}): object {
   return {
     name: 'r-1',
@@ -114,30 +111,30 @@
   };
 }
 
-/** The usual route for requests that may run more than once. */
+/** Route for requests that may run more than once. */
 export const SAFE_PATH = createPath();
 
-/** The usual route for requests that may run once at most. */
+/** Route for requests that may run at most once. */
 export const ORDER_PATH = createPath({
   name: 'r-2',
   prefix: '/order/',
   kind: 'unsafe',
 });
 
-/** A request on the route of orders. */
+/** Returns a request for `ORDER_PATH`. */
 export function orderRequest(attemptId: string): ClientRequest {
   return {attemptId, method: 'POST', path: '/order/1', body: 'x'};
 }
 
-/** Whether a host's node can serve. */
+/** Whether a host's node is ready to serve requests. */
 export function isReady(host: FleetHost): boolean {
   return host.node.waitingFor().length === 0;
 }
 
-/** Fleets of one test process use address blocks of their own. */
+/** Each fleet of a test process uses a separate block of addresses. */
 let fleetsCount = 0;
 
-/** Starts a fleet; every node is ready if there is a configuration. */
+/** Starts a fleet; waits until all nodes are ready if a configuration is published. */
 export async function startPlatformFleet(
   options: FleetOptions,
 ): Promise<PlatformFleet> {
@@ -207,7 +204,7 @@
       readyPort,
       storePort: storeEndpoint.port,
       slackCount: options.slackCount ?? 200,
-      // Leaves no time in which changes gather: most tests publish one by one.
+      // Disables batching, because most tests publish one change at a time.
       applyWithinMillis: options.applyWithinMillis ?? 0,
     });
     const events: LoggedEvent[] = [];
@@ -269,7 +266,7 @@
   })();
 }
 
-interface SettingsParts {
+interface SettingsOptions {
   readonly address: string;
   readonly service: string;
   readonly appPort: number;
@@ -281,26 +278,26 @@
   readonly applyWithinMillis: number;
 }
 
-function createSettings(parts: SettingsParts): NodeSettings {
-  const {address} = parts;
+function createSettings(options: SettingsOptions): NodeSettings {
+  const {address} = options;
   return {
     nodeName: address,
     zone: 'zone-a',
     region: 'region',
-    hostKey: `${address}:${String(parts.appPort)}`,
-    outbound: {address, port: parts.outboundPort},
-    inbound: {address, port: parts.inboundPort},
-    ready: {address, port: parts.readyPort},
-    operators: {address, port: parts.readyPort},
-    upstream: {address, port: parts.appPort},
-    service: parts.service,
-    store: {address: '127.0.0.1', port: parts.storePort},
+    hostKey: `${address}:${String(options.appPort)}`,
+    outbound: {address, port: options.outboundPort},
+    inbound: {address, port: options.inboundPort},
+    ready: {address, port: options.readyPort},
+    operators: {address, port: options.readyPort},
+    upstream: {address, port: options.appPort},
+    service: options.service,
+    store: {address: '127.0.0.1', port: options.storePort},
     graceMillis: 6000,
-    applyWithinMillis: parts.applyWithinMillis,
+    applyWithinMillis: options.applyWithinMillis,
     repeatBound: {
       ratio: RETRY_RATIO,
       windowMillis: 10_000,
-      slackCount: parts.slackCount,
+      slackCount: options.slackCount,
     },
     quotaBound: {windowMillis: 5000, overageRatio: 0.25, slackCount: 20},
   };
--- a/test/fakes/policy_documents.ts
+++ b/test/fakes/policy_documents.ts
@@ -1,13 +1,13 @@
 /**
- * Policy and host list documents for tests, with room for one deviation.
+ * Policy documents for tests: a valid base policy and variants of it.
  */
 import type {CompiledPolicy, Policy} from '../../src/version/policy.js';
 import {compilePolicy} from '../../src/version/compiled_policy.js';
 
-/** A type without its read-only marks, all the way down. */
+/** Removes `readonly` from all properties, recursively. */
 export type Mutable<T> = {-readonly [K in keyof T]: Mutable<T[K]>};
 
-/** A small valid policy: one keyed order route, reads and a background job. */
+/** A small valid policy: one service with an order route and a read route. */
 export const BASE_POLICY: Policy = {
   formatVersion: 1,
   version: 1,
@@ -70,14 +70,14 @@
   },
 };
 
-/** A copy of the base policy with a deviation. */
+/** Returns a copy of the base policy, modified by `change`. */
 export function createPolicyWith(change: (draft: Mutable<Policy>) => void) {
   const draft = structuredClone(BASE_POLICY) as Mutable<Policy>;
   change(draft);
   return draft;
 }
 
-/** The base policy at a version, as published. */
+/** Returns the encoded base policy with this version, modified by `change`. */
 export function createPolicyBytes(
   version: number,
   change: (draft: Mutable<Policy>) => void = () => undefined,
@@ -90,14 +90,14 @@
   );
 }
 
-/** A compiled policy; throws if the document has problems. */
+/** Returns the compiled policy; throws if the document has problems. */
 export function compileOrThrow(documentBytes: Uint8Array): CompiledPolicy {
   const compilation = compilePolicy(documentBytes);
   if (compilation.kind === 'compiled') return compilation.compiled;
   throw new Error(JSON.stringify(compilation.problems));
 }
 
-/** JSON in UTF-8. */
+/** Encodes a value as JSON in UTF-8. */
 export function encodeDocument(value: unknown): Uint8Array {
   return new TextEncoder().encode(JSON.stringify(value));
 }
--- a/test/fakes/process_fleet.ts
+++ b/test/fakes/process_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Hosts of one upstream and one node process each beside one store; nodes may be
- * killed and started again.
+ * A fleet of node processes with a fake upstream each and one fake store. Nodes can be
+ * killed and restarted.
  */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -18,56 +18,55 @@
 import {createFakeStore} from './fake_store.js';
 import {waitUntil} from './wait_until.js';
 
-const PROGRAM = resolve('dist/platform/main.js');
+const PROGRAM_PATH = resolve('dist/platform/main.js');
 
-/** Start of upstreams where the entry does not say. */
-const BORN_MILLIS = 1_790_000_000_000;
+/** Default start time of upstreams. */
+const DEFAULT_BORN_MILLIS = 1_790_000_000_000;
 
-type Line = Readonly<Record<string, unknown>>;
+type LogLine = Readonly<Record<string, unknown>>;
 
-/** One host with its process, which may start again. */
+/** A host with the current process of its node. */
 export interface ProcessHost {
   readonly address: string;
   readonly upstream: FakeUpstream;
   readonly storeEndpoint: StoreEndpoint;
-  /** Lines of the process that runs now. */
-  lines: Line[];
+  /** Log lines of the current process. */
+  lines: LogLine[];
   process: NodeProcess;
 }
 
-/** What an entry of an upstream says. */
+/** Fields of an upstream's entry in the store. */
 export interface PublishedEntry {
   readonly id?: string;
-  /** Millisecond of its start; the same for all entries of one start. */
+  /** Unix time of the start; the same for all entries of one start. */
   readonly bornMillis?: number;
   readonly seq: number;
   readonly state?: string;
 }
 
-/** The fleet. */
 export interface ProcessFleet {
   readonly store: FakeStore;
   readonly hosts: readonly ProcessHost[];
   configure(version: number): void;
   publish(index: number, entry: PublishedEntry): void;
-  /** Kills a node and starts it again. */
+  /** Kills a node with SIGKILL and starts it again. */
   restart(index: number): void;
   send(index: number, request: ClientRequest): Promise<ClientResponse>;
 }
 
-/** Fleets of one test process use address blocks of their own. */
+/** Each fleet of a test process uses a separate block of addresses, from here on. */
 const FIRST_BLOCK = 240;
 
 let fleetsCount = 0;
 
-/** Versions that the process that runs now has brought into force. */
+/** Returns the configuration versions that the current process has logged as accepted. */
 export function activeVersions({lines}: ProcessHost): readonly unknown[] {
   return lines
     .filter(({event}) => event === 'configuration-accepted')
     .map(line => line['configurationVersion']);
 }
 
-/** Waits until all hosts have brought a version into force. */
+/** Waits until the nodes of all hosts have accepted a version. */
 export async function waitForVersion(
   hosts: readonly ProcessHost[],
   version: number,
@@ -77,7 +76,7 @@
   );
 }
 
-/** Waits until all hosts know all upstreams. */
+/** Waits until the nodes of all hosts have logged that all upstreams joined. */
 export async function waitForAllUpstreams(
   hosts: readonly ProcessHost[],
 ): Promise<void> {
@@ -90,7 +89,7 @@
   );
 }
 
-/** Starts hosts of these services beside one store; all end with the test. */
+/** Starts one host for each of these services; all are stopped when the test ends. */
 export async function startProcessFleet(
   t: ExecutionContext,
   services: readonly string[],
@@ -127,7 +126,7 @@
     });
   };
   const publish = (index: number, entry: PublishedEntry): void => {
-    const {id = `i-${String(index)}`, bornMillis = BORN_MILLIS} = entry;
+    const {id = `i-${String(index)}`, bornMillis = DEFAULT_BORN_MILLIS} = entry;
     const {seq, state = 'ready'} = entry;
     const address = `${block}.${String(index + 1)}:${String(app)}`;
     store.put(`servers/${id}`, {
@@ -142,9 +141,13 @@
       status: {state, seq, coldLeftS: 0},
     });
   };
-  const start = (index: number, storeEndpoint: StoreEndpoint, lines: Line[]) =>
+  const startNode = (
+    index: number,
+    storeEndpoint: StoreEndpoint,
+    lines: LogLine[],
+  ) =>
     startNodeProcess({
-      programPath: PROGRAM,
+      programPath: PROGRAM_PATH,
       runtimeFlags: [],
       directory,
       address: `${block}.${String(index + 1)}`,
@@ -160,8 +163,8 @@
     const upstream = await startFakeUpstream({id, address, port: app});
     publish(index, {seq: 1});
     const storeEndpoint = await store.openEndpoint();
-    const lines: Line[] = [];
-    const process = start(index, storeEndpoint, lines);
+    const lines: LogLine[] = [];
+    const process = startNode(index, storeEndpoint, lines);
     hosts.push({address, upstream, storeEndpoint, lines, process});
   }
   return {
@@ -174,7 +177,7 @@
       if (host === undefined) return;
       host.process.kill();
       host.lines = [];
-      host.process = start(index, host.storeEndpoint, host.lines);
+      host.process = startNode(index, host.storeEndpoint, host.lines);
     },
     send: (index, request) =>
       sendRequest(hosts[index]?.address ?? '', outbound, request),
--- a/test/fakes/quota_scenarios.ts
+++ b/test/fakes/quota_scenarios.ts
@@ -1,58 +1,69 @@
 /**
- * What may happen to a fleet that keeps a quota.
+ * Load and failure scenarios of a fleet that enforces a quota.
  */
 import type {QuotaScenario} from './quota_simulation.js';
 
-/** What a scenario adds to a fleet and its rate. */
+/** Load and failures, without the size of the fleet and its rate. */
 export type ScenarioOptions = Omit<
   QuotaScenario,
   'nodesCount' | 'ratePerSecond' | 'seed' | 'durationMillis'
 >;
 
-/** Time that a scenario takes. */
+/** Duration of each scenario. */
 export const SCENARIO_DURATION_MILLIS = 12_000;
 
-/** Usual requests of an organisation, in relation to its rate. */
+/** Usual load of an organisation as a ratio of its quota's rate. */
 const USUAL_RATIO = 1 / 1.6;
 
-const CUT_MILLIS = {from: 4000, to: 9000};
+const PARTITION_MILLIS = {from: 4000, to: 9000};
 
-const usually = (): number => USUAL_RATIO;
+const usualRatio = (): number => USUAL_RATIO;
 
-/** Many times the usual, for six seconds. */
+/** Returns a load of so many times the usual one for six seconds. */
 function surge(times: number): (millis: number) => number {
   return millis =>
     millis >= 3000 && millis < 9000 ? times * USUAL_RATIO : USUAL_RATIO;
 }
 
-function isCut(millis: number): boolean {
-  return millis >= CUT_MILLIS.from && millis <= CUT_MILLIS.to;
+function isPartitioned(millis: number): boolean {
+  return millis >= PARTITION_MILLIS.from && millis <= PARTITION_MILLIS.to;
 }
 
-/** One zone apart from the others. */
-function inTwoParts(from: number, to: number, millis: number): boolean {
-  return !isCut(millis) || (from === 0) === (to === 0);
+/** Partitions one zone from the others. */
+function isConnectedWithOneZoneCut(
+  from: number,
+  to: number,
+  millis: number,
+): boolean {
+  return !isPartitioned(millis) || (from === 0) === (to === 0);
 }
 
-/** Each zone apart from all others. */
-function inAllParts(from: number, to: number, millis: number): boolean {
-  return !isCut(millis) || from === to;
+/** Partitions each zone from all others. */
+function isConnectedWithAllZonesCut(
+  from: number,
+  to: number,
+  millis: number,
+): boolean {
+  return !isPartitioned(millis) || from === to;
 }
 
 /** Scenarios by name. */
 export const QUOTA_SCENARIOS = {
-  usual: {offeredRatio: usually},
+  usual: {offeredRatio: usualRatio},
   'surge at all nodes': {offeredRatio: surge(10)},
   'surge at one node': {offeredRatio: surge(10), chooseEntryIndex: () => 5},
   'surge just to the limit': {offeredRatio: surge(1.6)},
-  'one zone cut off': {offeredRatio: usually, isConnected: inTwoParts},
+  'one zone cut off': {
+    offeredRatio: usualRatio,
+    isConnected: isConnectedWithOneZoneCut,
+  },
   'surge with one zone cut off': {
     offeredRatio: surge(7.5),
-    isConnected: inTwoParts,
+    isConnected: isConnectedWithOneZoneCut,
   },
   'surge with each zone cut off': {
     offeredRatio: surge(7.5),
-    isConnected: inAllParts,
+    isConnected: isConnectedWithAllZonesCut,
   },
   'surge and a third of the nodes killed': {
     offeredRatio: surge(7.5),
@@ -62,16 +73,15 @@
     offeredRatio: surge(7.5),
     killed: {atMillis: 5000, ratio: 1},
   },
-  'surge and a node that stands still': {
+  'surge and a paused node': {
     offeredRatio: surge(7.5),
     paused: {atMillis: 4500, index: 3},
   },
   'surge with lost messages': {offeredRatio: surge(7.5), lostRatio: 0.05},
   'quota lowered far below the usual': {
-    offeredRatio: usually,
+    offeredRatio: usualRatio,
     quotaRatio: (millis: number) => (millis > 5000 ? 0.15 : 1),
   },
 } satisfies Readonly<Record<string, ScenarioOptions>>;
 
-/** Name of a scenario. */
 export type ScenarioName = keyof typeof QUOTA_SCENARIOS;
--- a/test/fakes/quota_simulation.ts
+++ b/test/fakes/quota_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of nodes that keep the quota of one organisation, replayed on a clock of
- * events: what runs in any window, what is refused, and what it costs in messages.
+ * Simulates a fleet of nodes that enforce the quota of one organisation. Measures how far
+ * any window exceeds the quota, the ratio of requests served, and the message traffic.
  */
 import type {Organisation} from '../../src/version/organisation.js';
 import type {QuotaBound} from '../../src/process/settings/node_settings.js';
@@ -8,34 +8,32 @@
 import {createEventClock} from './event_clock.js';
 import {createSeededRandom} from './seeded_random.js';
 
-/** One node of a fleet, by one way of keeping quotas. */
+/** A node that enforces the quota with one strategy. */
 export interface QuotaNode {
-  /** Whether a request runs. */
+  /** Whether to run a request of this rank. */
   admit(rank: number): boolean | Promise<boolean>;
   /** Called every 200 ms. */
   tick(): void;
-  /** Takes a message of another node and answers it. */
+  /** Handles a message of another node and returns the response. */
   receive(message: string): string;
 }
 
-/** What a node is made of. */
 export interface QuotaNodeOptions {
   readonly index: number;
   readonly fleet: QuotaFleet;
-  /** Rises with each start of the node. */
+  /** Earlier starts of the node. */
   readonly startsCount: number;
   readonly nowMillis: () => number;
   readonly random: () => number;
   readonly send: (index: number, message: string) => Promise<MessageResult>;
 }
 
-/** What came of a message. */
 export type MessageResult =
   | {readonly kind: 'answered'; readonly response: string}
   | {readonly kind: 'silent'}
   | {readonly kind: 'closed'};
 
-/** What all nodes of a fleet know. */
+/** State shared by all nodes of a fleet. */
 export interface QuotaFleet {
   readonly nodesCount: number;
   readonly zonesCount: number;
@@ -44,38 +42,37 @@
   readonly clock: EventClock;
 }
 
-/** A way of keeping quotas. */
+/** Creates a node that enforces the quota. */
 export type QuotaStrategy = (parts: QuotaNodeOptions) => QuotaNode;
 
-/** What happens to a fleet. */
+/** Load and failures of a fleet. */
 export interface QuotaScenario {
   readonly nodesCount: number;
   readonly ratePerSecond: number;
   readonly seed: number;
   readonly durationMillis: number;
-  /** Requests offered in relation to the rate of the quota, at a time. */
+  /** Offered requests as a ratio of the quota's rate, by time. */
   readonly offeredRatio: (millis: number) => number;
-  /** Node that a request enters at; any, if left out. */
+  /** Returns the index of the node that receives a request; the default is random. */
   readonly chooseEntryIndex?: (random: () => number) => number;
-  /** Whether messages pass between two zones, at a time. */
+  /** Whether messages are delivered between two zones, by time. */
   readonly isConnected?: (from: number, to: number, millis: number) => boolean;
-  /** Part of the nodes that is killed at a time, and back half a second later. */
+  /** Ratio of nodes that are killed at this time and restart half a second later. */
   readonly killed?: {readonly atMillis: number; readonly ratio: number};
-  /** Node that stands still for three seconds. */
+  /** Node that is paused for three seconds. */
   readonly paused?: {readonly atMillis: number; readonly index: number};
-  /** Part of the messages that is lost. */
+  /** Ratio of messages that are lost. */
   readonly lostRatio?: number;
-  /** Part of the quota that is in force, at a time. */
+  /** Ratio of the quota that is configured, by time. */
   readonly quotaRatio?: (millis: number) => number;
 }
 
-/** What came of it. */
 export interface QuotaResult {
-  /** Most requests that ran in any window, against what is tolerated. */
+  /** Maximum ratio of requests that ran in a window to the tolerated number. */
   readonly worstRatio: number;
-  /** What ran, against what a single bucket would have let run. */
+  /** Ratio of requests that ran to the number that a single token bucket admits. */
   readonly servedRatio: number;
-  /** Part of the urgent requests and of the others that ran while it was limited. */
+  /** Ratios of urgent and of other requests that ran while the offered load exceeded the quota. */
   readonly urgentRatio: number;
   readonly otherRatio: number;
   readonly messagesPerSecond: number;
@@ -87,8 +84,8 @@
 const TICK_MILLIS = 200;
 const STEP_MILLIS = 1;
 const ONE_WAY_MILLIS = 1;
-const SILENT_MILLIS = 400;
-const DOWN_MILLIS = 500;
+const TIMEOUT_MILLIS = 400;
+const RESTART_MILLIS = 500;
 const PAUSE_MILLIS = 3000;
 const BOUND: QuotaBound = {
   windowMillis: WINDOW_MILLIS,
@@ -96,14 +93,14 @@
   slackCount: 20,
 };
 
-/** Zone of a node; nodes are dealt out in turn. */
+/** Returns the zone of a node; nodes are distributed round-robin. */
 export function zoneOf(index: number): number {
   return index % ZONES_COUNT;
 }
 
-/** Plays a scenario. */
+/** Simulates a scenario. */
 export async function simulateQuota(
-  way: QuotaStrategy,
+  strategy: QuotaStrategy,
   scenario: QuotaScenario,
 ): Promise<QuotaResult> {
   const {nodesCount, ratePerSecond, durationMillis} = scenario;
@@ -125,9 +122,9 @@
       },
     }),
   };
-  const downUntil = new Array<number>(nodesCount).fill(-1);
-  const pausedUntil = new Array<number>(nodesCount).fill(-1);
-  const starts = new Array<number>(nodesCount).fill(0);
+  const downUntilMillis = new Array<number>(nodesCount).fill(-1);
+  const pausedUntilMillis = new Array<number>(nodesCount).fill(-1);
+  const startCounts = new Array<number>(nodesCount).fill(0);
   const nodes: QuotaNode[] = [];
   let messagesCount = 0;
   let bytesCount = 0;
@@ -149,18 +146,18 @@
           resolve({kind});
         });
       };
-      const passes = scenario.isConnected?.(zoneOf(from), zoneOf(to), now);
+      const canReach = scenario.isConnected?.(zoneOf(from), zoneOf(to), now);
       const isLost = random() < (scenario.lostRatio ?? 0);
-      if (passes === false || isLost) {
-        endAfter(SILENT_MILLIS, 'silent');
+      if (canReach === false || isLost) {
+        endAfter(TIMEOUT_MILLIS, 'silent');
         return;
       }
-      if ((downUntil[to] ?? 0) > now) {
+      if ((downUntilMillis[to] ?? 0) > now) {
         endAfter(2 * ONE_WAY_MILLIS, 'closed');
         return;
       }
-      const waitMillis = Math.max(0, (pausedUntil[to] ?? 0) - now);
-      if (waitMillis > SILENT_MILLIS) endAfter(SILENT_MILLIS, 'silent');
+      const waitMillis = Math.max(0, (pausedUntilMillis[to] ?? 0) - now);
+      if (waitMillis > TIMEOUT_MILLIS) endAfter(TIMEOUT_MILLIS, 'silent');
       clock.schedule(waitMillis + ONE_WAY_MILLIS, () => {
         const response = nodes[to]?.receive(message) ?? '';
         messagesCount += 1;
@@ -173,13 +170,13 @@
   };
 
   const start = (index: number): void => {
-    const startsCount = starts[index] ?? 0;
-    starts[index] = startsCount + 1;
-    nodes[index] = way({
+    const startsCount = startCounts[index] ?? 0;
+    startCounts[index] = startsCount + 1;
+    nodes[index] = strategy({
       index,
       fleet,
       startsCount,
-      // Clocks of nodes run apart; only differences count.
+      // Each node's clock has a different offset: strategies may use only differences.
       nowMillis: () => clock.nowMillis() + index * 1000,
       random,
       send: (to, message) => send(index, to, message),
@@ -191,60 +188,62 @@
   const offeredMillis: number[] = [];
   const offered = [0, 0];
   const ran = [0, 0];
-  const isUp = (index: number): boolean =>
-    (downUntil[index] ?? 0) <= clock.nowMillis() &&
-    (pausedUntil[index] ?? 0) <= clock.nowMillis();
+  const isRunning = (index: number): boolean =>
+    (downUntilMillis[index] ?? 0) <= clock.nowMillis() &&
+    (pausedUntilMillis[index] ?? 0) <= clock.nowMillis();
 
-  const offer = async (): Promise<void> => {
+  const offerRequest = async (): Promise<void> => {
     const chosen =
       scenario.chooseEntryIndex?.(random) ?? Math.floor(random() * nodesCount);
-    const index = isUp(chosen) ? chosen : nextUp(chosen, nodesCount, isUp);
-    if (!isUp(index)) return;
+    const index = isRunning(chosen)
+      ? chosen
+      : nextRunningIndex(chosen, nodesCount, isRunning);
+    if (!isRunning(index)) return;
     const isUrgent = random() < 0.5;
     const atMillis = clock.nowMillis();
     offeredMillis.push(atMillis);
-    const place = isUrgent ? 0 : 1;
+    const kindIndex = isUrgent ? 0 : 1;
     const isMeasured = scenario.offeredRatio(atMillis) > 1;
-    if (isMeasured) offered[place] = (offered[place] ?? 0) + 1;
+    if (isMeasured) offered[kindIndex] = (offered[kindIndex] ?? 0) + 1;
     const admitted = nodes[index]?.admit(isUrgent ? 0 : 2);
     if (admitted !== true && !(await admitted)) return;
     ranMillis.push(clock.nowMillis());
-    if (isMeasured) ran[place] = (ran[place] ?? 0) + 1;
+    if (isMeasured) ran[kindIndex] = (ran[kindIndex] ?? 0) + 1;
   };
 
-  let nextTick = 0;
+  let nextTickMillis = 0;
   for (let now = 0; now < durationMillis; now += STEP_MILLIS) {
     clock.runUntil(now);
     if (scenario.killed?.atMillis === now) {
       for (let index = 0; index < nodesCount; index += 1) {
         if (random() >= scenario.killed.ratio) continue;
-        downUntil[index] = now + DOWN_MILLIS;
+        downUntilMillis[index] = now + RESTART_MILLIS;
         start(index);
       }
     }
     if (scenario.paused?.atMillis === now) {
-      pausedUntil[scenario.paused.index] = now + PAUSE_MILLIS;
+      pausedUntilMillis[scenario.paused.index] = now + PAUSE_MILLIS;
     }
-    if (now >= nextTick) {
-      nextTick += TICK_MILLIS;
+    if (now >= nextTickMillis) {
+      nextTickMillis += TICK_MILLIS;
       for (const [index, node] of nodes.entries()) {
-        if (!isUp(index)) continue;
+        if (!isRunning(index)) continue;
         clock.schedule(random() * TICK_MILLIS, () => {
           if (nodes[index] === node) node.tick();
         });
       }
     }
-    const expected =
+    const expectedCount =
       (ratePerSecond * scenario.offeredRatio(now) * STEP_MILLIS) / 1000;
-    for (let left = poisson(expected, random); left > 0; left -= 1) {
-      void offer();
+    for (let left = poisson(expectedCount, random); left > 0; left -= 1) {
+      void offerRequest();
     }
-    await settled();
+    await flushMicrotasks();
   }
-  const bucketAt = (millis: number) => ratePerSecond * quotaRatio(millis);
+  const rateAt = (millis: number) => ratePerSecond * quotaRatio(millis);
   return {
-    worstRatio: worstWindow(ranMillis, bucketAt),
-    servedRatio: ranMillis.length / idealCount(offeredMillis, bucketAt),
+    worstRatio: worstWindowRatio(ranMillis, rateAt),
+    servedRatio: ranMillis.length / idealServedCount(offeredMillis, rateAt),
     urgentRatio: (ran[0] ?? 0) / Math.max(1, offered[0] ?? 0),
     otherRatio: (ran[1] ?? 0) / Math.max(1, offered[1] ?? 0),
     messagesPerSecond: (messagesCount * 1000) / durationMillis / nodesCount,
@@ -252,19 +251,19 @@
   };
 }
 
-/** Lets what was resolved go on. */
-async function settled(): Promise<void> {
+/** Runs the continuations of resolved promises, up to four in a chain. */
+async function flushMicrotasks(): Promise<void> {
   for (let turn = 0; turn < 4; turn += 1) await Promise.resolve();
 }
 
-function nextUp(
+function nextRunningIndex(
   chosen: number,
   nodesCount: number,
-  isUp: (index: number) => boolean,
+  isRunning: (index: number) => boolean,
 ): number {
   for (let step = 1; step < nodesCount; step += 1) {
     const index = (chosen + step) % nodesCount;
-    if (isUp(index)) return index;
+    if (isRunning(index)) return index;
   }
   return chosen;
 }
@@ -276,8 +275,8 @@
   return count;
 }
 
-/** Windows in which the quota changes are left out. */
-function worstWindow(
+/** Uses the higher rate for windows in which the quota changes. */
+function worstWindowRatio(
   ranMillis: readonly number[],
   rateAt: (millis: number) => number,
 ): number {
@@ -293,8 +292,8 @@
   return worst;
 }
 
-/** Requests that one bucket with the quota would let run. */
-function idealCount(
+/** Returns the number of requests that a single token bucket with the quota admits. */
+function idealServedCount(
   offeredMillis: readonly number[],
   rateAt: (millis: number) => number,
 ): number {
--- a/test/fakes/quota_strategies.ts
+++ b/test/fakes/quota_strategies.ts
@@ -1,6 +1,6 @@
 /**
- * Ways of keeping a quota over a fleet: the one in use, and others that it is
- * compared with.
+ * Strategies to enforce a quota in a fleet: the one that the daemon uses, and alternatives
+ * for comparison.
  */
 import {createCoordinatorChooser} from '../../src/process/quota/coordinator_chooser.js';
 import {createQuotaCoordinator} from '../../src/process/quota/quota_coordinator.js';
@@ -24,9 +24,9 @@
   readonly index: number;
 }
 
-/** Counts reported to a coordinator, which tells what share to admit. */
-export const coordinatedCounts: QuotaStrategy = parts => {
-  const {index, fleet, nowMillis, random} = parts;
+/** Nodes report counts to a coordinator, which returns the ratio to admit; used by the daemon. */
+export const coordinatedCounts: QuotaStrategy = options => {
+  const {index, fleet, nowMillis, random} = options;
   const {bound, clock} = fleet;
   const hosts: readonly ReplayedHost[] = hostsOf(fleet.nodesCount);
   const ownHostKey = hosts[index]!.hostKey;
@@ -45,8 +45,8 @@
     reachableRatio: coordinatorChooser.reachableRatio,
     nowMillis,
   });
-  const exchange = createQuotaEnforcer<ReplayedHost>({
-    reporterId: `${String(index)}/${String(parts.startsCount)}`,
+  const enforcer = createQuotaEnforcer<ReplayedHost>({
+    reporterId: `${String(index)}/${String(options.startsCount)}`,
     ownHostKey,
     zone: hosts[index]!.zone,
     reachability,
@@ -60,10 +60,10 @@
     }),
     send: async (host, report) => {
       const message = encodeQuotaReport(report).toString('latin1');
-      const end = await parts.send(host.index, message);
-      if (end.kind !== 'answered') return end;
-      const answer = Buffer.from(end.response, 'latin1');
-      const allowances = decodeQuotaAllowances(answer) ?? [];
+      const result = await options.send(host.index, message);
+      if (result.kind !== 'answered') return result;
+      const response = Buffer.from(result.response, 'latin1');
+      const allowances = decodeQuotaAllowances(response) ?? [];
       return {kind: 'answered', allowances};
     },
     waitTimeout: () =>
@@ -74,16 +74,16 @@
   return {
     admit: async rank => {
       const organisation = fleet.organisation();
-      const decision = await exchange.decide(organisation, rank);
+      const decision = await enforcer.decide(organisation, rank);
       if (decision.kind !== 'admitted') return false;
-      exchange.recordRan(organisation);
+      enforcer.recordRan(organisation);
       return true;
     },
-    tick: exchange.tick,
+    tick: enforcer.tick,
     receive: message => {
       const report = decodeQuotaReport(Buffer.from(message, 'latin1'));
       if (report === undefined) return '';
-      return encodeQuotaAllowances(exchange.receive(report)).toString('latin1');
+      return encodeQuotaAllowances(enforcer.receive(report)).toString('latin1');
     },
   };
 };
@@ -101,7 +101,7 @@
   return cachedHosts;
 }
 
-/** An equal share of the quota for each node, without messages. */
+/** Each node enforces an equal share of the quota, without messages. */
 export const evenShares: QuotaStrategy = ({fleet, nowMillis}) => {
   const bucket = createBucket(nowMillis, () => {
     const {ratePerSecond, burstCount} = fleet.organisation().quota!;
@@ -118,20 +118,20 @@
   };
 };
 
-/** Slots of a window, in which counts of nodes are exchanged. */
+/** Time slots of a window, for which nodes exchange counts. */
 const SLOT_MILLIS = 500;
 const SLOTS_COUNT = 10;
 
-/** Nodes that each node tells its counts at a time. */
+/** Number of nodes that each node sends its counts to at each tick. */
 const FANOUT_COUNT = 3;
 
-/** Counts of all nodes by slot, which nodes tell each other. */
-export const exchangedCounts: QuotaStrategy = parts => {
-  const {index, fleet, random} = parts;
-  /** Counts by node and slot; they only grow, so the larger is the later. */
+/** Nodes gossip the counts of all nodes by time slot. */
+export const exchangedCounts: QuotaStrategy = options => {
+  const {index, fleet, random} = options;
+  /** Counts by slot, node and start; they only grow, so the larger one is newer. */
   const counts = new Map<string, number>();
-  // Nodes have to agree on slots, so the clock of all is taken.
-  const slotNow = (): number =>
+  // Slots must be the same on all nodes, so they use the simulation's clock.
+  const currentSlot = (): number =>
     Math.floor(fleet.clock.nowMillis() / SLOT_MILLIS);
   const merge = (message: string): void => {
     for (const [key, count] of JSON.parse(message) as [string, number][]) {
@@ -141,7 +141,7 @@
   const expire = (): void => {
     for (const key of counts.keys()) {
       const slot = Number(key.split('/', 1)[0]);
-      if (slot <= slotNow() - SLOTS_COUNT) counts.delete(key);
+      if (slot <= currentSlot() - SLOTS_COUNT) counts.delete(key);
     }
   };
   return {
@@ -152,8 +152,8 @@
       const {ratePerSecond, burstCount} = fleet.organisation().quota!;
       const windowSeconds = (SLOT_MILLIS * SLOTS_COUNT) / 1000;
       if (sum >= ratePerSecond * windowSeconds + burstCount) return false;
-      const start = String(parts.startsCount);
-      const key = `${String(slotNow())}/${String(index)}/${start}`;
+      const start = String(options.startsCount);
+      const key = `${String(currentSlot())}/${String(index)}/${start}`;
       counts.set(key, (counts.get(key) ?? 0) + 1);
       return true;
     },
@@ -161,9 +161,9 @@
       expire();
       if (counts.size === 0) return;
       const message = JSON.stringify([...counts]);
-      for (let told = 0; told < FANOUT_COUNT; told += 1) {
+      for (let sentCount = 0; sentCount < FANOUT_COUNT; sentCount += 1) {
         const to = Math.floor(random() * fleet.nodesCount);
-        if (to !== index) void parts.send(to, message);
+        if (to !== index) void options.send(to, message);
       }
     },
     receive: message => {
@@ -173,17 +173,17 @@
   };
 };
 
-/** Tokens of a lease, as a part of those that the coordinator has. */
+/** Tokens of a lease, as a ratio of those that the coordinator has left. */
 const LEASE_RATIO = 0.1;
 const LEASE_MILLIS = 1000;
 
-/** Tokens that a coordinator hands out ahead of need. */
-export const leasedTokens: QuotaStrategy = parts => {
-  const {fleet, nowMillis, index} = parts;
+/** A coordinator leases tokens to nodes in advance. */
+export const leasedTokens: QuotaStrategy = options => {
+  const {fleet, nowMillis, index} = options;
   const bucket = createBucket(nowMillis, () => fleet.organisation().quota!);
   let tokens = 0;
-  let untilMillis = 0;
-  let asked: Promise<void> | undefined;
+  let leaseExpiryMillis = 0;
+  let pendingRequest: Promise<void> | undefined;
   const grant = (): number => {
     const available = bucket.available();
     const count = Math.min(
@@ -193,27 +193,27 @@
     bucket.take(count);
     return count;
   };
-  const ask = (): Promise<void> => {
-    asked ??= askCoordinator(parts, index)
-      .then(answer => {
-        const granted = answer === undefined ? 0 : Number(answer);
-        tokens = (nowMillis() < untilMillis ? tokens : 0) + granted;
-        untilMillis = nowMillis() + LEASE_MILLIS;
+  const requestLease = (): Promise<void> => {
+    pendingRequest ??= requestTokens(options, index)
+      .then(response => {
+        const granted = response === undefined ? 0 : Number(response);
+        tokens = (nowMillis() < leaseExpiryMillis ? tokens : 0) + granted;
+        leaseExpiryMillis = nowMillis() + LEASE_MILLIS;
       })
       .finally(() => {
-        asked = undefined;
+        pendingRequest = undefined;
       });
-    return asked;
+    return pendingRequest;
   };
   return {
     admit: async () => {
-      if (tokens < 1 || nowMillis() >= untilMillis) {
+      if (tokens < 1 || nowMillis() >= leaseExpiryMillis) {
         tokens = 0;
-        await ask();
+        await requestLease();
       }
       if (tokens < 1) return false;
       tokens -= 1;
-      if (tokens < 1) void ask();
+      if (tokens < 1) void requestLease();
       return true;
     },
     tick: () => undefined,
@@ -221,15 +221,15 @@
   };
 };
 
-/** The first node that answers, in the order of their positions. */
-async function askCoordinator(
-  parts: QuotaNodeOptions,
+/** Requests a lease from the first of three nodes that responds, in the order of their indices. */
+async function requestTokens(
+  options: QuotaNodeOptions,
   ownIndex: number,
 ): Promise<string | undefined> {
   for (let index = 0; index < 3; index += 1) {
     if (index === ownIndex) continue;
-    const end = await parts.send(index, 'lease');
-    if (end.kind === 'answered') return end.response;
+    const result = await options.send(index, 'lease');
+    if (result.kind === 'answered') return result.response;
   }
   return undefined;
 }
@@ -241,12 +241,12 @@
 
 function createBucket(nowMillis: () => number, limits: () => BucketLimits) {
   let tokens = limits().burstCount;
-  let atMillis = nowMillis();
+  let refilledMillis = nowMillis();
   const refill = (): void => {
     const {ratePerSecond, burstCount} = limits();
-    const added = (ratePerSecond * (nowMillis() - atMillis)) / 1000;
+    const added = (ratePerSecond * (nowMillis() - refilledMillis)) / 1000;
     tokens = Math.min(burstCount, tokens + added);
-    atMillis = nowMillis();
+    refilledMillis = nowMillis();
   };
   return {
     available: () => {
--- a/test/fakes/raw_client.ts
+++ b/test/fakes/raw_client.ts
@@ -1,24 +1,28 @@
 /**
- * A client that writes requests when a test says so: ahead of the answers, or
- * long after it connected.
+ * HTTP client on a raw socket, for requests that are pipelined or sent long after the
+ * connection was opened.
  */
 import {once} from 'node:events';
 import net from 'node:net';
 import type {ExecutionContext} from 'ava';
 import {FLEET_HOST_NAME} from './fleet_client.js';
 
-/** One connection of such a client. */
+/** One connection of a client. */
 export interface RawClient {
-  /** All bytes that came. */
+  /** All data received, as Latin-1. */
   readonly received: string;
-  /** Status codes of the answers, in the order in which they came. */
+  /** Status codes of the responses in the order of arrival. */
   readonly statusCodes: readonly number[];
   readonly isClosed: boolean;
-  /** Writes a request without a body, with further header lines if given. */
-  sendRequest(attemptId: string, path: string, lines?: readonly string[]): void;
+  /** Writes a request without a body, with additional header lines. */
+  sendRequest(
+    attemptId: string,
+    path: string,
+    headerLines?: readonly string[],
+  ): void;
 }
 
-/** Connects; closes with the test. */
+/** Connects to a node; the connection is closed when the test ends. */
 export async function connectRawClient(
   t: ExecutionContext,
   address: string,
@@ -48,13 +52,13 @@
     get isClosed() {
       return isClosed;
     },
-    sendRequest: (attemptId, path, lines = []) => {
+    sendRequest: (attemptId, path, headerLines = []) => {
       const head = [
         `GET ${path} HTTP/1.1`,
         `host: ${FLEET_HOST_NAME}`,
         `attempt-id: ${attemptId}`,
         'timeout-ms: 5000',
-        ...lines,
+        ...headerLines,
       ];
       socket.write(`${head.join('\r\n')}\r\n\r\n`);
     },
--- a/test/fakes/received_requests.ts
+++ b/test/fakes/received_requests.ts
@@ -1,11 +1,11 @@
 /**
- * What the HTTP listeners of this process have read, answered or not.
+ * Records the requests that HTTP servers of this process receive.
  */
 import diagnostics from 'node:diagnostics_channel';
 import type {IncomingMessage} from 'node:http';
 import type {ExecutionContext} from 'ava';
 
-/** Records requests as their headers are read, until the test ends. */
+/** Records each request when its headers have been parsed, until the test ends. */
 export function recordReceivedRequests(
   t: ExecutionContext,
 ): readonly IncomingMessage[] {
--- a/test/fakes/recorded_output.ts
+++ b/test/fakes/recorded_output.ts
@@ -1,15 +1,13 @@
 /**
- * Output of a command as a test reads it.
+ * Command output that records its lines.
  */
 import type {CommandOutput} from '../../src/cli/command_output.js';
 
-/** Lines printed so far. */
 export interface RecordedOutput extends CommandOutput {
   readonly lines: readonly string[];
   readonly errorLines: readonly string[];
 }
 
-/** Creates an output without lines. */
 export function createRecordedOutput(): RecordedOutput {
   const lines: string[] = [];
   const errorLines: string[] = [];
--- a/test/fakes/relay_fleet.ts
+++ b/test/fakes/relay_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of followers on one replayed source that ask each other, on a clock that
- * moves in steps: who watches, what the source is asked, and how late each learns.
+ * Simulates a fleet of document followers that relay changes to each other, on a clock
+ * that advances in steps. Tests measure the calls to the source and the delay of changes.
  */
 import * as Effect from 'effect/Effect';
 import * as TestClock from 'effect/testing/TestClock';
@@ -20,60 +20,57 @@
 import type {SimulatedSource} from './simulated_source.js';
 import {upstreamEntry} from './route_documents.js';
 
-/** A node of the fleet. */
 export interface RelayNode {
   readonly hostKey: string;
   readonly zone: string;
-  /** Where it reaches the source; other nodes are elsewhere. */
+  /** The node's own connection to the source, with its own faults. */
   readonly source: SimulatedSource;
   readonly appliedPosition: SourcePosition;
-  /** Texts it knows, by key. */
+  /** Texts of the documents that the node has applied, by key. */
   readonly texts: ReadonlyMap<string, string>;
-  /** Other nodes do not reach it, nor does it reach them. */
+  /** Whether the node and all other nodes are unreachable for each other. */
   isPartitioned: boolean;
 }
 
-/** What a fleet is made of. */
 export interface RelayFleetOptions {
   readonly nodesCount: number;
   readonly zonesCount: number;
   readonly applyWithinMillis: number;
-  /** Messages that each node gets from others in a second. */
+  /** Position exchanges that each node starts with others per second. */
   readonly messagesPerSecond: number;
   readonly random: () => number;
 }
 
-/** A fleet at rest. */
 export interface RelayFleet {
   readonly nodes: readonly RelayNode[];
   readonly nowMillis: () => number;
-  /** Calls of all nodes to the source. */
+  /** Total number of calls of all nodes to the source. */
   callsCount(): number;
-  /** Changes a document for all; returns its revision. */
+  /** Changes a document of the source; returns its revision. */
   change(key: string): number;
   compact(): void;
-  /** The source comes back from what it holds now, later. */
+  /** Takes a snapshot of the source; the returned function restores it. */
   takeSnapshot(): () => void;
-  /** Moves on; `act` is called at every step. */
-  run(millis: number, act?: (atMillis: number) => void): Effect.Effect<void>;
+  /** Advances the clock; `onStep` is called at every step. */
+  run(millis: number, onStep?: (atMillis: number) => void): Effect.Effect<void>;
 }
 
 const STEP_MILLIS = 20;
 
-interface Node extends RelayNode {
+interface SimulatedRelayNode extends RelayNode {
   readonly relay: PeerRelay;
   readonly positions: PeerPositions;
 }
 
-/** Plays a fleet from its start to the end of the given program. */
+/** Runs a fleet from its start until the scenario ends. */
 export function simulateRelayFleet(
   options: RelayFleetOptions,
-  play: (fleet: RelayFleet) => Effect.Effect<void>,
+  scenario: (fleet: RelayFleet) => Effect.Effect<void>,
 ): Promise<void> {
   const program = Effect.gen(function* () {
     const {fleet, followers} = createFleet(options);
     for (const follower of followers) yield* Effect.forkChild(follower);
-    yield* play(fleet);
+    yield* scenario(fleet);
   });
   return Effect.runPromise(Effect.provide(program, TestClock.layer()));
 }
@@ -85,7 +82,7 @@
   const {nodesCount, zonesCount, random} = options;
   let now = 0;
   const nowMillis = (): number => now;
-  const sleepers = new Set<{atMillis: number; wake: () => void}>();
+  const timers = new Set<{atMillis: number; onTimeout: () => void}>();
   const hosts: readonly KnownUpstream[] = Array.from(
     {length: nodesCount},
     (_, index) => ({
@@ -98,13 +95,13 @@
       firstSeenMillis: 0,
     }),
   );
-  const nodes: Node[] = [];
-  const silence = (): Promise<undefined> =>
+  const nodes: SimulatedRelayNode[] = [];
+  const waitForTimeout = (): Promise<undefined> =>
     new Promise(resolve => {
-      const wake = (): void => {
+      const onTimeout = (): void => {
         resolve(undefined);
       };
-      sleepers.add({atMillis: now + CHANGES_QUERY_TIMEOUT_MILLIS, wake});
+      timers.add({atMillis: now + CHANGES_QUERY_TIMEOUT_MILLIS, onTimeout});
     });
 
   const followers = hosts.map(({entry}) => {
@@ -119,15 +116,15 @@
         nowMillis,
       }),
       documents: createDocumentCache(),
-      send: async (target, question) => {
-        const asked = nodes.find(({hostKey}) => hostKey === target.hostKey);
-        if (asked === undefined || asked.isPartitioned || node.isPartitioned) {
-          return silence();
+      send: async (target, query) => {
+        const peer = nodes.find(({hostKey}) => hostKey === target.hostKey);
+        if (peer === undefined || peer.isPartitioned || node.isPartitioned) {
+          return waitForTimeout();
         }
-        return asked.relay.answerQuery(question);
+        return peer.relay.answerQuery(query);
       },
     });
-    const node: Node = {
+    const node: SimulatedRelayNode = {
       hostKey: entry.hostKey,
       zone: entry.zone,
       source,
@@ -140,7 +137,7 @@
       positions,
     };
     nodes.push(node);
-    const take = (key: string, text: string | undefined): void => {
+    const applyDocument = (key: string, text: string | undefined): void => {
       if (text === undefined) texts.delete(key);
       else texts.set(key, text);
     };
@@ -162,35 +159,36 @@
         onRestored: () => undefined,
         onSnapshot: documents => {
           texts.clear();
-          for (const {key, text} of documents) take(key, text);
+          for (const {key, text} of documents) applyDocument(key, text);
         },
         onChanges: documents => {
-          for (const {key, text} of documents) take(key, text);
+          for (const {key, text} of documents) applyDocument(key, text);
         },
       },
     });
   });
 
-  /** Messages between nodes that do not know of this. */
-  const gossip = (): void => {
-    const chance = (options.messagesPerSecond * STEP_MILLIS) / 1000;
+  /** Simulates the positions that nodes attach to unrelated messages. */
+  const exchangePositions = (): void => {
+    const probability = (options.messagesPerSecond * STEP_MILLIS) / 1000;
     for (const node of nodes) {
-      if (random() >= chance) continue;
+      if (random() >= probability) continue;
       const other = nodes[Math.floor(random() * nodes.length)];
-      if (other === undefined || other.isPartitioned || node.isPartitioned)
-        {continue;}
+      if (other === undefined || other.isPartitioned || node.isPartitioned) {
+        continue;
+      }
       node.positions.recordPeerPosition(other.positions.applied);
       other.positions.recordPeerPosition(node.positions.applied);
     }
   };
 
   const tick = (): void => {
-    for (const sleeper of sleepers) {
-      if (now < sleeper.atMillis) continue;
-      sleepers.delete(sleeper);
-      sleeper.wake();
+    for (const timer of timers) {
+      if (now < timer.atMillis) continue;
+      timers.delete(timer);
+      timer.onTimeout();
     }
-    gossip();
+    exchangePositions();
     for (const {source} of nodes) source.tick();
   };
 
@@ -209,21 +207,21 @@
     },
     takeSnapshot: () => {
       const restores = nodes.map(({source}) => {
-        const copy = source.takeSnapshot();
+        const snapshot = source.takeSnapshot();
         return () => {
-          source.restore(copy);
+          source.restore(snapshot);
         };
       });
       return () => {
         for (const restore of restores) restore();
       };
     },
-    run: (millis, act = () => undefined) =>
+    run: (millis, onStep = () => undefined) =>
       Effect.gen(function* () {
         const endMillis = now + millis;
         while (now < endMillis) {
           now += STEP_MILLIS;
-          act(now);
+          onStep(now);
           tick();
           yield* Effect.promise(() => new Promise(setImmediate));
           yield* TestClock.adjust(STEP_MILLIS);
--- a/test/fakes/route_documents.ts
+++ b/test/fakes/route_documents.ts
@@ -1,5 +1,5 @@
 /**
- * Routes and configurations for tests, with defaults for what a test leaves out.
+ * Builds routes, configurations and upstream entries with default values.
  */
 import type {RouteTable} from '../../src/version/route_table.js';
 import {createRouteTable} from '../../src/version/route_table.js';
@@ -27,14 +27,14 @@
   };
 }
 
-/** Table of a configuration. */
+/** Returns the route table of such a configuration. */
 export function routeTable(
   fields: Partial<RouteConfiguration> = {},
 ): RouteTable {
   return createRouteTable(routeConfiguration(fields), () => 'document');
 }
 
-/** Version 1 with one route. */
+/** Returns a configuration of version 1 with one route. */
 export function routeConfiguration(
   fields: Partial<RouteConfiguration> = {},
 ): RouteConfiguration {
@@ -53,7 +53,7 @@
   };
 }
 
-/** A ready upstream of `orders` with ten slots. */
+/** Returns the entry of a ready upstream of `orders` with ten slots. */
 export function upstreamEntry(
   fields: Partial<UpstreamEntry> = {},
 ): UpstreamEntry {
--- a/test/fakes/simulated_node.ts
+++ b/test/fakes/simulated_node.ts
@@ -1,6 +1,6 @@
 /**
- * The decisions of one node in a replay: the project's own modules, wired as
- * the program wires them.
+ * A node of a simulated fleet: the decision modules of the daemon, connected as in the
+ * daemon.
  */
 import type {AdmissionLevel} from '../../src/process/admission/admission_level.js';
 import {
@@ -38,12 +38,11 @@
 import type {SimulatedService} from './fleet_load.js';
 import {upstreamEntry} from './route_documents.js';
 
-/** What a node is made of. */
 interface SimulatedNodeOptions {
   readonly own: UpstreamEntry;
-  /** Work that its upstream does in a millisecond. */
+  /** Milliseconds of work that the upstream does in a millisecond. */
   readonly speed: number;
-  /** Share of what it is handed that it rejects at once. */
+  /** Ratio of dispatched requests that the upstream rejects immediately. */
   readonly rejectRatio: number;
   readonly rejectFromMillis: number;
   /** All upstreams of the fleet. */
@@ -56,7 +55,7 @@
 export interface SimulatedNode {
   readonly own: UpstreamEntry;
   readonly speed: number;
-  /** Share of what its upstream is handed now that it rejects. */
+  /** Ratio of dispatched requests that the upstream rejects at this time. */
   currentRejectRatio(): number;
   readonly budget: RetryBudget;
   readonly queue: UpstreamQueue;
@@ -69,24 +68,24 @@
   readonly entryAdmission: EntryAdmission;
   readonly loadPoller: LoadPoller;
   readonly placement: PlacementChooser;
-  /** Load of the own upstream, which is put on the board as well. */
+  /** Returns the load of the local upstream, which is also recorded in the load table. */
   ownLoad(): LoadReport;
-  /** Ends a window of the level. */
+  /** Ends a window and updates the admission level. */
   updateLevel(): void;
-  /** Loads that an answer to this sender reports. */
+  /** Returns the loads to report with a response to this sender. */
   loadsFor(senderId: string): readonly LoadReport[];
-  /** Loads that a node is told which asks for them. */
+  /** Returns the loads to report in response to a poll. */
   loads(): readonly LoadReport[];
 }
 
-/** Others' loads go with one answer in this time, as between nodes. */
+/** Interval at which responses to one sender include other upstreams' loads, as in the daemon. */
 const REPORT_MILLIS = 100;
 const REPORTED_LOADS_COUNT = 6;
 
 /** Limit on the retries that a service receives from the whole fleet. */
 const RETRY_BOUND = {ratio: 0.2, windowMillis: 10_000, slackCount: 50};
 
-/** Creates a node that knows of all upstreams and nothing else. */
+/** Creates a node with all upstreams in its directory and without load reports. */
 function createSimulatedNode(options: SimulatedNodeOptions): SimulatedNode {
   const {own, speed, rejectRatio, entries, nowMillis, random} = options;
   const queue = createUpstreamQueue(nowMillis);
@@ -154,11 +153,11 @@
     return loads();
   };
   const loads = (): readonly LoadReport[] => {
-    const mine = ownLoad();
+    const ownReport = ownLoad();
     const others = loadTable
       .shedding()
       .filter(report => report.upstreamId !== own.id);
-    return [mine, ...others.slice(0, REPORTED_LOADS_COUNT)];
+    return [ownReport, ...others.slice(0, REPORTED_LOADS_COUNT)];
   };
   return {
     own,
@@ -187,7 +186,7 @@
   };
 }
 
-/** Creates the nodes of a fleet, one beside each upstream. */
+/** Creates one node for each upstream of a fleet. */
 export function createSimulatedNodes(
   services: readonly SimulatedService[],
   clock: Pick<SimulatedNodeOptions, 'nowMillis' | 'random'>,
@@ -197,7 +196,7 @@
   const rejectRatios = services.flatMap(service =>
     service.speeds.map((_, index) => service.rejectRatios?.[index] ?? 0),
   );
-  const rejectFroms = services.flatMap(service =>
+  const rejectFromMillis = services.flatMap(service =>
     service.speeds.map(() => service.rejectFromMillis ?? 0),
   );
   return entries.map((own, index) =>
@@ -205,7 +204,7 @@
       own,
       speed: speeds[index] ?? 1,
       rejectRatio: rejectRatios[index] ?? 0,
-      rejectFromMillis: rejectFroms[index] ?? 0,
+      rejectFromMillis: rejectFromMillis[index] ?? 0,
       entries,
       ...clock,
     }),
--- a/test/fakes/simulated_publishers.ts
+++ b/test/fakes/simulated_publishers.ts
@@ -1,10 +1,11 @@
 /**
- * Upstreams and an operator that publish to a replayed source, the platform that
- * drops the entries of those that are silent, and drills of the source.
+ * Simulates the publishers of a source: upstreams and an operator that write documents,
+ * the platform that removes entries of upstreams that stopped writing, and losses and
+ * restores of the source.
  */
 import type {SimulatedSource, SourceSnapshot} from './simulated_source.js';
 
-/** What happens next in a world. */
+/** The next event of a simulation. */
 export interface PublisherAction {
   readonly kind:
     | 'write'
@@ -14,20 +15,20 @@
     | 'start'
     | 'publish'
     | 'compact'
-    /** The followed source is away for a time, and all goes on without it. */
+    /** The source refuses calls of its follower for a time; publishers still write. */
     | 'cut'
-    /** It comes back from an earlier copy. */
+    /** The source is restored from an earlier snapshot. */
     | 'restore';
-  /** Upstream that it happens to. */
+  /** Upstream that the action applies to. */
   readonly upstreamIndex: number;
-  /** Acts since the copy was made. */
+  /** Number of actions since the snapshot to restore. */
   readonly snapshotAgeCount: number;
   readonly durationMillis: number;
-  /** Time until the next act. */
+  /** Time until the next action. */
   readonly pauseMillis: number;
 }
 
-/** An upstream as it is, whatever is known of it. */
+/** Actual state of an upstream, which the published entries may not reflect. */
 export interface SimulatedUpstream {
   readonly id: string;
   readonly bornMillis: number;
@@ -36,76 +37,78 @@
   readonly isAlive: boolean;
 }
 
-/** The world. */
 export interface SimulatedPublishers {
   apply(act: PublisherAction, nowMillis: number): void;
-  /** Does what is due. */
+  /** Runs the writes, removals and reconnections that are due. */
   tick(nowMillis: number): void;
   readonly upstreams: readonly SimulatedUpstream[];
   readonly version: number;
 }
 
-/** Key of the version; entries lie below another prefix. */
+/** Key of the configuration version, outside the prefix of the entries. */
 export const VERSION_KEY = 'op/config';
 
-/** Prefix of the entries. */
+/** Prefix of the upstreams' entries. */
 export const ENTRIES_PREFIX = 'servers/';
 
-/** Interval at which upstreams write their entries. */
+/** Interval at which upstreams rewrite their entries. */
 export const HEARTBEAT_INTERVAL_MILLIS = 1500;
 
-/** Silence after which the platform drops an entry. */
+/** Time without a write after which the platform removes an entry. */
 const LEASE_MILLIS = 3 * HEARTBEAT_INTERVAL_MILLIS;
 
-/** Creates a world of so many upstreams that run already. */
+/** Creates so many running upstreams, publishes their entries and version 0. */
 export function createSimulatedPublishers(
   source: SimulatedSource,
   upstreamsCount: number,
   random: () => number,
 ): SimulatedPublishers {
   const upstreams: SimulatedUpstream[] = [];
-  const rewriteMillis = new Map<string, number>();
-  const dropMillis = new Map<string, number>();
-  const copies: SourceSnapshot[] = [];
+  const rewriteDueMillis = new Map<string, number>();
+  const expiryDueMillis = new Map<string, number>();
+  const snapshots: SourceSnapshot[] = [];
   let version = 0;
-  let publishAgainMillis: number | undefined;
-  let cutUntilMillis = 0;
+  let publishDueMillis: number | undefined;
+  let disconnectedUntilMillis = 0;
 
-  const write = (upstream: SimulatedUpstream, index: number): void => {
+  const writeEntry = (upstream: SimulatedUpstream, index: number): void => {
     const written = {
       ...upstream,
       sequenceNumber: upstream.sequenceNumber + 1,
     };
     upstreams[index] = written;
-    rewriteMillis.delete(written.id);
+    rewriteDueMillis.delete(written.id);
     source.change(`${ENTRIES_PREFIX}${written.id}`, JSON.stringify(written));
   };
 
   const publish = (): void => {
-    publishAgainMillis = undefined;
+    publishDueMillis = undefined;
     source.change(VERSION_KEY, String(version));
   };
 
   const restore = (ageCount: number, nowMillis: number): void => {
-    const copy = copies.at(-1 - ageCount) ?? copies[0];
-    if (copy === undefined) return;
-    source.restore(copy);
-    publishAgainMillis = nowMillis + random() * HEARTBEAT_INTERVAL_MILLIS;
+    const snapshot = snapshots.at(-1 - ageCount) ?? snapshots[0];
+    if (snapshot === undefined) return;
+    source.restore(snapshot);
+    publishDueMillis = nowMillis + random() * HEARTBEAT_INTERVAL_MILLIS;
     for (const {id, isAlive} of upstreams) {
       if (isAlive) {
-        rewriteMillis.set(id, nowMillis + random() * HEARTBEAT_INTERVAL_MILLIS);
+        rewriteDueMillis.set(
+          id,
+          nowMillis + random() * HEARTBEAT_INTERVAL_MILLIS,
+        );
       } else {
-        dropMillis.set(id, nowMillis + LEASE_MILLIS);
+        expiryDueMillis.set(id, nowMillis + LEASE_MILLIS);
       }
     }
   };
 
-  const end = (index: number, upstream: SimulatedUpstream): void => {
+  const markStopped = (index: number, upstream: SimulatedUpstream): void => {
     upstreams[index] = {...upstream, isAlive: false};
-    rewriteMillis.delete(upstream.id);
+    rewriteDueMillis.delete(upstream.id);
   };
 
-  const actOn = (
+  const applyTo = (
     kind: PublisherAction['kind'],
     index: number,
     upstream: SimulatedUpstream,
@@ -113,24 +116,24 @@
   ): void => {
     const {id, bornMillis, isAlive} = upstream;
     if (kind === 'start' && !isAlive) {
-      dropMillis.delete(id);
-      write(freshUpstream(id, bornMillis + 1), index);
+      expiryDueMillis.delete(id);
+      writeEntry(createUpstream(id, bornMillis + 1), index);
     }
     if (!isAlive) return;
-    if (kind === 'write') write(upstream, index);
-    if (kind === 'drain') write({...upstream, isDraining: true}, index);
+    if (kind === 'write') writeEntry(upstream, index);
+    if (kind === 'drain') writeEntry({...upstream, isDraining: true}, index);
     if (kind === 'leave') {
-      end(index, upstream);
+      markStopped(index, upstream);
       source.remove(`${ENTRIES_PREFIX}${id}`);
     }
     if (kind === 'crash') {
-      end(index, upstream);
-      dropMillis.set(id, nowMillis + LEASE_MILLIS);
+      markStopped(index, upstream);
+      expiryDueMillis.set(id, nowMillis + LEASE_MILLIS);
     }
   };
 
   for (let index = 0; index < upstreamsCount; index += 1) {
-    write(freshUpstream(`u-${String(index)}`, 1), index);
+    writeEntry(createUpstream(`u-${String(index)}`, 1), index);
   }
   publish();
 
@@ -145,7 +148,7 @@
     ) => {
       const index = upstreamIndex % upstreamsCount;
       const upstream = upstreams[index];
-      if (upstream !== undefined) actOn(kind, index, upstream, nowMillis);
+      if (upstream !== undefined) applyTo(kind, index, upstream, nowMillis);
       if (kind === 'publish') {
         version += 1;
         publish();
@@ -153,23 +156,23 @@
       if (kind === 'compact') source.compact();
       if (kind === 'restore') restore(snapshotAgeCount, nowMillis);
       if (kind === 'cut' || kind === 'restore') {
-        cutUntilMillis = nowMillis + durationMillis;
+        disconnectedUntilMillis = nowMillis + durationMillis;
         source.setState('refusing');
       }
-      copies.push(source.takeSnapshot());
+      snapshots.push(source.takeSnapshot());
     },
     tick: nowMillis => {
-      if (nowMillis >= cutUntilMillis) source.setState('healthy');
-      if (publishAgainMillis !== undefined && nowMillis >= publishAgainMillis) {
+      if (nowMillis >= disconnectedUntilMillis) source.setState('healthy');
+      if (publishDueMillis !== undefined && nowMillis >= publishDueMillis) {
         publish();
       }
       for (const [index, upstream] of upstreams.entries()) {
-        const dueMillis = rewriteMillis.get(upstream.id) ?? Infinity;
-        if (nowMillis >= dueMillis) write(upstream, index);
+        const dueMillis = rewriteDueMillis.get(upstream.id) ?? Infinity;
+        if (nowMillis >= dueMillis) writeEntry(upstream, index);
       }
-      for (const [id, atMillis] of dropMillis) {
+      for (const [id, atMillis] of expiryDueMillis) {
         if (nowMillis < atMillis) continue;
-        dropMillis.delete(id);
+        expiryDueMillis.delete(id);
         const key = `${ENTRIES_PREFIX}${id}`;
         if (source.texts.has(key)) source.remove(key);
       }
@@ -177,7 +180,7 @@
   };
 }
 
-function freshUpstream(id: string, bornMillis: number): SimulatedUpstream {
+function createUpstream(id: string, bornMillis: number): SimulatedUpstream {
   return {
     id,
     bornMillis,
--- a/test/fakes/simulated_source.ts
+++ b/test/fakes/simulated_source.ts
@@ -1,6 +1,6 @@
 /**
- * A source of documents on a clock that a test moves: changes, losses and a
- * history of any length, and what its follower made of them.
+ * In-memory document source with simulated outages, history compaction and restores, on a
+ * clock that the test advances.
  */
 import type {
   DocumentChange,
@@ -9,37 +9,35 @@
   SourcePosition,
 } from '../../src/process/membership/document_source.js';
 
-/** The source. */
 export interface SimulatedSource extends DocumentSource {
-  /** Calls so far, waiting ones included. */
+  /** Number of calls so far, including pending ones. */
   readonly callsCount: number;
   /** Revision of the last change. */
   readonly revision: number;
-  /** Keys and texts of now. */
+  /** Current texts by key. */
   readonly texts: ReadonlyMap<string, string>;
-  /** Changes a document, to its revision if no text is given; returns that. */
+  /** Changes a document; returns the new revision, which is also the default text. */
   change(key: string, text?: string): number;
   remove(key: string): void;
   /**
-   * Loses the source: calls fail at once, or are not answered. Those under way are
-   * cut, but for `stalled`: they hear nothing either.
+   * Sets whether the source responds: `refusing` fails calls immediately, `silent` and
+   * `stalled` let them time out. Pending calls fail, but with `stalled` they time out too.
    */
   setState(state: SourceState): void;
-  /** Drops the history before now. */
+  /** Discards the history up to the current revision. */
   compact(): void;
   takeSnapshot(): SourceSnapshot;
-  /** Comes back from a copy; waiting calls are cut. */
-  restore(copy: SourceSnapshot): void;
-  /** Watches hear nothing, neither news nor that history was lost, until their end. */
-  stallWatches(isHeld: boolean): void;
-  /** Answers what is due. */
+  /** Restores a snapshot; pending calls fail. */
+  restore(snapshot: SourceSnapshot): void;
+  /** Whether new watches get neither changes nor `history-lost` until their wait is over. */
+  stallWatches(isStalled: boolean): void;
+  /** Settles the calls that are due. */
   tick(): void;
 }
 
-/** Whether a source answers. */
 export type SourceState = 'healthy' | 'refusing' | 'silent' | 'stalled';
 
-/** What a source held at one moment. */
+/** State of a source at one time. */
 export interface SourceSnapshot {
   readonly documents: ReadonlyMap<string, DocumentChange>;
   readonly history: readonly DocumentChange[];
@@ -47,36 +45,35 @@
   readonly revision: number;
 }
 
-/** Time after which a call that gets no answer fails, beyond its wait. */
-const OVERDUE_MILLIS = 1000;
+/** Time beyond its wait after which a call without a response fails. */
+const RESPONSE_TIMEOUT_MILLIS = 1000;
 
-interface Waiting {
+interface PendingCall {
   readonly afterRevision: number;
   readonly untilMillis: number;
-  readonly isAnswered: boolean;
-  /** Nothing ends it before its time. */
-  readonly isHeld: boolean;
+  readonly isResponding: boolean;
+  /** Does not end before its wait is over. */
+  readonly isStalled: boolean;
   readonly resolve: (read: DocumentBatch | 'history-lost') => void;
   readonly reject: (error: Error) => void;
 }
 
-/** Creates a source without documents. */
 export function createSimulatedSource(
   nowMillis: () => number,
 ): SimulatedSource {
   let documents = new Map<string, DocumentChange>();
   let history: DocumentChange[] = [];
-  const waiting = new Set<Waiting>();
+  const pendingCalls = new Set<PendingCall>();
   let epoch = 0;
   let revision = 1;
   let oldestRevision = 1;
   let state: SourceState = 'healthy';
   let callsCount = 0;
-  let isHeld = false;
+  let isStalled = false;
 
-  const positionNow = (): SourcePosition => ({epoch, revision});
+  const currentPosition = (): SourcePosition => ({epoch, revision});
 
-  const since = (afterRevision: number): readonly DocumentChange[] =>
+  const changesSince = (afterRevision: number): readonly DocumentChange[] =>
     history.filter(item => item.revision > afterRevision);
 
   const record = (change: DocumentChange): void => {
@@ -85,61 +82,61 @@
     else documents.set(change.key, change);
   };
 
-  const cutAll = (): void => {
-    for (const call of waiting) call.reject(new Error('cut'));
-    waiting.clear();
+  const failPendingCalls = (): void => {
+    for (const call of pendingCalls) call.reject(new Error('connection lost'));
+    pendingCalls.clear();
   };
 
-  const isUnknown = (afterRevision: number): boolean =>
+  const isHistoryLost = (afterRevision: number): boolean =>
     afterRevision < oldestRevision || afterRevision > revision;
 
-  const answer = (call: Waiting): void => {
-    const isOver = nowMillis() >= call.untilMillis;
-    if (state === 'stalled' && call.isAnswered) {
-      if (nowMillis() < call.untilMillis + OVERDUE_MILLIS) return;
-      waiting.delete(call);
-      call.reject(new Error('no answer'));
+  const settleIfDue = (call: PendingCall): void => {
+    const isWaitOver = nowMillis() >= call.untilMillis;
+    if (state === 'stalled' && call.isResponding) {
+      if (nowMillis() < call.untilMillis + RESPONSE_TIMEOUT_MILLIS) return;
+      pendingCalls.delete(call);
+      call.reject(new Error('no response'));
       return;
     }
-    if (!call.isAnswered) {
-      if (!isOver) return;
-      waiting.delete(call);
-      call.reject(new Error('no answer'));
+    if (!call.isResponding) {
+      if (!isWaitOver) return;
+      pendingCalls.delete(call);
+      call.reject(new Error('no response'));
       return;
     }
-    const changes = since(call.afterRevision);
-    const isNews = changes.length > 0 || isUnknown(call.afterRevision);
-    if ((!isNews || call.isHeld) && !isOver) return;
-    waiting.delete(call);
-    if (isUnknown(call.afterRevision)) call.resolve('history-lost');
-    else call.resolve({documents: changes, position: positionNow()});
+    const changes = changesSince(call.afterRevision);
+    const hasNews = changes.length > 0 || isHistoryLost(call.afterRevision);
+    if ((!hasNews || call.isStalled) && !isWaitOver) return;
+    pendingCalls.delete(call);
+    if (isHistoryLost(call.afterRevision)) call.resolve('history-lost');
+    else call.resolve({documents: changes, position: currentPosition()});
   };
 
-  const ask = (
+  const startCall = (
     afterRevision: number,
     waitMillis: number,
     signal?: AbortSignal,
   ): Promise<DocumentBatch | 'history-lost'> => {
     callsCount += 1;
     if (state === 'refusing') return Promise.reject(new Error('refused'));
-    const isAnswered = state === 'healthy';
+    const isResponding = state === 'healthy';
     return new Promise((resolve, reject) => {
-      const graceMillis = isAnswered ? 0 : OVERDUE_MILLIS;
+      const graceMillis = isResponding ? 0 : RESPONSE_TIMEOUT_MILLIS;
       const untilMillis = nowMillis() + waitMillis + graceMillis;
       const call = {
         afterRevision,
         untilMillis,
-        isAnswered,
-        isHeld: isHeld && waitMillis > 0,
+        isResponding,
+        isStalled: isStalled && waitMillis > 0,
         resolve,
         reject,
       };
-      waiting.add(call);
+      pendingCalls.add(call);
       signal?.addEventListener('abort', () => {
-        waiting.delete(call);
+        pendingCalls.delete(call);
         reject(new Error('aborted'));
       });
-      answer(call);
+      settleIfDue(call);
     });
   };
 
@@ -148,11 +145,11 @@
       return callsCount;
     },
     read: async () => {
-      await ask(0, 0);
-      return {documents: [...documents.values()], position: positionNow()};
+      await startCall(0, 0);
+      return {documents: [...documents.values()], position: currentPosition()};
     },
     watch: (_prefix, afterRevision, waitMillis, signal) =>
-      ask(afterRevision, waitMillis, signal),
+      startCall(afterRevision, waitMillis, signal),
     get revision() {
       return revision;
     },
@@ -172,10 +169,10 @@
     },
     setState: next => {
       state = next;
-      if (next === 'refusing' || next === 'silent') cutAll();
+      if (next === 'refusing' || next === 'silent') failPendingCalls();
     },
     stallWatches: next => {
-      isHeld = next;
+      isStalled = next;
     },
     compact: () => {
       oldestRevision = revision;
@@ -187,15 +184,15 @@
       oldestRevision,
       revision,
     }),
-    restore: copy => {
-      documents = new Map(copy.documents);
-      history = [...copy.history];
-      ({oldestRevision, revision} = copy);
+    restore: snapshot => {
+      documents = new Map(snapshot.documents);
+      history = [...snapshot.history];
+      ({oldestRevision, revision} = snapshot);
       epoch += 1;
-      cutAll();
+      failPendingCalls();
     },
     tick: () => {
-      for (const call of [...waiting]) answer(call);
+      for (const call of [...pendingCalls]) settleIfDue(call);
     },
     dispose: () => undefined,
   };
--- a/test/fakes/temporary_files.ts
+++ b/test/fakes/temporary_files.ts
@@ -1,15 +1,15 @@
 /**
- * Files for one test, removed when it ends.
+ * Temporary files that are removed when the test ends.
  */
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 import type {ExecutionContext} from 'ava';
 
-/** Writes files by name; returns the path of each. */
+/** Writes a file and returns its path. */
 export type FileWriter = (name: string, content: Uint8Array | string) => string;
 
-/** Creates a directory that lasts as long as the test. */
+/** Creates a temporary directory and returns a writer for files in it. */
 export function createFileWriter(t: ExecutionContext): FileWriter {
   const directory = mkdtempSync(join(tmpdir(), 'fulmarhollow-test-'));
   t.teardown(() => {
--- a/test/fakes/test_fleet.ts
+++ b/test/fakes/test_fleet.ts
@@ -1,11 +1,10 @@
 /**
- * A fleet on the platform that ends with its test.
+ * Platform fleet that is closed when the test ends.
  */
 import type {ExecutionContext} from 'ava';
 import type {FleetOptions, PlatformFleet} from './platform_fleet.js';
 import {startPlatformFleet} from './platform_fleet.js';
 
-/** Starts a fleet and closes it when the test is over. */
 export async function startFleet(
   t: ExecutionContext,
   options: FleetOptions,
--- a/test/fakes/wait_until.ts
+++ b/test/fakes/wait_until.ts
@@ -1,22 +1,22 @@
 /**
- * Waiting for a condition in tests that use sockets.
+ * Polls a condition in tests with real I/O.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 
-/** Only a condition that never comes true runs into this bound. */
-const BOUND_MILLIS = 40_000;
-const LOOK_MILLIS = 10;
+/** Long enough that only a condition that never becomes true reaches it. */
+const TIMEOUT_MILLIS = 40_000;
+const POLL_INTERVAL_MILLIS = 10;
 
-/** Returns when the condition holds; throws at a generous bound. */
+/** Returns when the condition is true; throws after the timeout. */
 export async function waitUntil(
   description: string,
   condition: () => boolean,
 ): Promise<void> {
-  const endMillis = performance.now() + BOUND_MILLIS;
+  const endMillis = performance.now() + TIMEOUT_MILLIS;
   while (!condition()) {
     if (performance.now() > endMillis) {
-      throw new Error(`Did not come true: ${description}`);
+      throw new Error(`Timed out waiting for: ${description}`);
     }
-    await sleep(LOOK_MILLIS);
+    await sleep(POLL_INTERVAL_MILLIS);
   }
 }
