--- a/bench/bench_client.ts
+++ b/bench/bench_client.ts
@@ -1,49 +1,48 @@
 /**
- * Clients of a measured fleet.
+ * HTTP client of the benchmarks.
  */
 import http from 'node:http';
 
-/** Name under which clients address every route. */
+/** Host name of all routes. */
 export const BENCH_HOST_NAME = 'bench.example';
 
-/** Where clients send their requests. */
+/** Node that requests are sent to. */
 export interface BenchEndpoint {
   readonly address: string;
   readonly outboundPort: number;
 }
 
-/** Requests of one kind. */
 export interface Batch {
   readonly count: number;
   readonly concurrentCount: number;
   readonly agent: http.Agent | false;
 }
 
-/** Resolves with how many were answered with success. */
+/** Sends a batch of requests; returns how many of them got a response with status 200. */
 export async function sendBatch(
-  entry: BenchEndpoint,
+  endpoint: BenchEndpoint,
   path: string,
   batch: Batch,
 ): Promise<number> {
-  let leftCount = batch.count;
+  let remainingCount = batch.count;
   let servedCount = 0;
-  const sendSome = async (): Promise<void> => {
-    while (leftCount > 0) {
-      leftCount -= 1;
-      const statusCode = await sendOne(entry, path, batch.agent);
+  const sendRemaining = async (): Promise<void> => {
+    while (remainingCount > 0) {
+      remainingCount -= 1;
+      const statusCode = await sendRequest(endpoint, path, batch.agent);
       if (statusCode === 200) servedCount += 1;
     }
   };
   await Promise.all(
-    Array.from({length: batch.concurrentCount}, () => sendSome()),
+    Array.from({length: batch.concurrentCount}, () => sendRemaining()),
   );
   return servedCount;
 }
 
 let sentCount = 0;
 
-function sendOne(
-  entry: BenchEndpoint,
+function sendRequest(
+  endpoint: BenchEndpoint,
   path: string,
   agent: http.Agent | false,
 ): Promise<number> {
@@ -51,8 +50,8 @@
   return new Promise((resolve, reject) => {
     const request = http.get({
       agent,
-      host: entry.address,
-      port: entry.outboundPort,
+      host: endpoint.address,
+      port: endpoint.outboundPort,
       path,
       headers: {
         host: BENCH_HOST_NAME,
--- a/bench/cost_bench.ts
+++ b/bench/cost_bench.ts
@@ -1,11 +1,11 @@
 /**
- * Processor time and wakes that nodes spend on a call and on a refusal, cold
- * and warm, by bundles that take turns in one run:
- * `npm run bench -- cost [COMMAND...]`, each the path of a bundle and flags for
- * the runtime.
+ * Measures the CPU time and wakeups of nodes per call and per rejected request, for cold
+ * and warm processes. Compares bundles in alternating batches of one run:
+ * `npm run bench -- cost [COMMAND...]`, where each command is the path of a bundle,
+ * followed by Node.js flags.
  *
- * A fleet's processes serve few requests each before they are replaced, so the
- * first calls of a fresh process count as much as those of a warm one.
+ * Processes of a fleet serve few requests before they are replaced, so the first calls of
+ * a new process matter as much as later ones.
  */
 import {mkdtempSync, rmSync} from 'node:fs';
 import http from 'node:http';
@@ -24,40 +24,40 @@
 } from '../test/fakes/node_process.js';
 import {startNodeProcess} from '../test/fakes/node_process.js';
 
-/** Calls of a fresh process, and of the same process after them. */
+/** Number of calls to a new process, and of the calls after them. */
 const COLD_COUNT = 2000;
 const WARM_COUNT = 6000;
 
-/** Calls of one fleet before it is the other one's turn. */
-const TURN_COUNT = 200;
+/** Calls to one fleet before the run switches to the next one. */
+const BATCH_COUNT = 200;
 
-/** Requests at the same time: as few as on a node that is far from full. */
+/** Concurrent requests: few, as on a node with low load. */
 const CONCURRENT_COUNT = 3;
 
-/** Slots and time of the upstream behind a storm: 20 requests a second. */
+/** Slots and response time of the overloaded upstream: 20 requests per second. */
 const STORM_SLOTS_COUNT = 1;
-const STORM_HOLD_MILLIS = 50;
+const STORM_RESPONSE_MILLIS = 50;
 const STORM_CONCURRENT_COUNT = 24;
 
-/** Time in which a node learns what is too much for an upstream. */
-const STORM_LEARN_MILLIS = 3000;
+/** Time for a node to adapt its admission level to the overload. */
+const STORM_WARM_UP_MILLIS = 3000;
 
-/** Time for an idle node's cost. */
+/** Duration of the measurement of an idle node. */
 const IDLE_MILLIS = 3000;
 
 const OWN_BUNDLE = 'target/fulmarhollowd.cjs';
 
-/** A client's node, a node beside an upstream, and a small upstream's. */
+/** The node that receives client requests, and the node of the called upstream. */
 interface Fleet {
   readonly name: string;
-  readonly entry: NodeProcess;
-  readonly beside: NodeProcess;
+  readonly entryNode: NodeProcess;
+  readonly upstreamNode: NodeProcess;
   readonly outboundPort: number;
   readonly agent: http.Agent;
-  end(): Promise<void>;
+  stop(): Promise<void>;
 }
 
-/** Measures this tree's bundle and the commands given. */
+/** Measures the bundle of this checkout and those of the commands. */
 export async function measureCost(): Promise<readonly string[]> {
   const commands = [OWN_BUNDLE, ...process.argv.slice(3)];
   const fleets: Fleet[] = [];
@@ -70,7 +70,7 @@
     ...(await measureCalls(fleets, 'warm', WARM_COUNT)),
     ...(await measureStorm(fleets)),
   ];
-  for (const fleet of fleets) await fleet.end();
+  for (const fleet of fleets) await fleet.stop();
   return lines;
 }
 
@@ -80,7 +80,7 @@
   const directory = mkdtempSync(join(process.cwd(), 'target', 'bench-'));
   const block = `127.${String(process.pid % 200)}.${String(index + 200)}`;
   const store = createFakeStore();
-  const entrance = await store.openEndpoint();
+  const storeEndpoint = await store.openEndpoint();
   const [app = 0, inbound = 0, outbound = 0, ready = 0] = await freePorts(
     '127.0.0.1',
     4,
@@ -90,22 +90,22 @@
     inbound,
     outbound,
     ready,
-    store: entrance.port,
+    store: storeEndpoint.port,
   };
   const nodes: NodeProcess[] = [];
-  const backends: FakeUpstream[] = [];
+  const upstreams: FakeUpstream[] = [];
   store.put('op/config', CONFIGURATION);
-  for (const [host, service] of ['clients', 'calls', 'storm'].entries()) {
-    const address = `${block}.${String(host + 1)}`;
-    const id = `i-${String(host)}`;
-    const backend = await startFakeUpstream({id, address, port: app});
-    backends.push(backend);
+  for (const [hostIndex, service] of ['clients', 'calls', 'storm'].entries()) {
+    const address = `${block}.${String(hostIndex + 1)}`;
+    const id = `i-${String(hostIndex)}`;
+    const upstream = await startFakeUpstream({id, address, port: app});
+    upstreams.push(upstream);
     const slots = service === 'storm' ? STORM_SLOTS_COUNT : 50;
     if (service === 'storm') {
-      backend.setHandler(request => {
+      upstream.setHandler(request => {
         setTimeout(() => {
           request.respond(200, 'late');
-        }, STORM_HOLD_MILLIS);
+        }, STORM_RESPONSE_MILLIS);
       });
     }
     store.put(`servers/${id}`, {
@@ -124,17 +124,17 @@
       }),
     );
   }
-  const [entry, beside] = nodes as [NodeProcess, NodeProcess];
-  for (const node of nodes) await untilReady(node.address, ready);
+  const [entryNode, upstreamNode] = nodes as [NodeProcess, NodeProcess];
+  for (const node of nodes) await waitUntilReady(node.address, ready);
   return {
     name: command,
-    entry,
-    beside,
+    entryNode,
+    upstreamNode,
     outboundPort: outbound,
     agent: new http.Agent({keepAlive: true}),
-    end: async () => {
+    stop: async () => {
       for (const node of nodes) node.stop();
-      for (const backend of backends) await backend.close();
+      for (const upstream of upstreams) await upstream.close();
       store.close();
       rmSync(directory, {recursive: true, force: true});
     },
@@ -172,11 +172,11 @@
 async function measureIdle(
   fleets: readonly Fleet[],
 ): Promise<readonly string[]> {
-  const before = fleets.map(({entry}) => entry.cost());
+  const before = fleets.map(({entryNode}) => entryNode.cost());
   await sleep(IDLE_MILLIS);
-  return fleets.map(({name, entry}, index) => {
-    const spent = spentSince(entry, before[index]);
-    return line('idle second', name, spent, IDLE_MILLIS / 1000);
+  return fleets.map(({name, entryNode}, index) => {
+    const cost = costSince(entryNode, before[index]);
+    return formatLine('idle second', name, cost, IDLE_MILLIS / 1000);
   });
 }
 
@@ -185,79 +185,81 @@
   label: string,
   count: number,
 ): Promise<readonly string[]> {
-  const before = fleets.map(costs);
-  for (let done = 0; done < count; done += TURN_COUNT) {
+  const before = fleets.map(readCosts);
+  for (let sentCount = 0; sentCount < count; sentCount += BATCH_COUNT) {
     for (const fleet of fleets) {
-      await sendBatch(entryOf(fleet), '/calls/1', {
-        count: TURN_COUNT,
+      await sendBatch(endpointOf(fleet), '/calls/1', {
+        count: BATCH_COUNT,
         concurrentCount: CONCURRENT_COUNT,
         agent: fleet.agent,
       });
     }
   }
   return fleets.flatMap((fleet, index) => [
-    line(
-      `${label} call, at the entry`,
+    formatLine(
+      `${label} call, at the entry node`,
       fleet.name,
-      spentSince(fleet.entry, before[index]?.entry),
+      costSince(fleet.entryNode, before[index]?.entryNode),
       count,
     ),
-    line(
-      `${label} call, beside the upstream`,
+    formatLine(
+      `${label} call, at the upstream's node`,
       fleet.name,
-      spentSince(fleet.beside, before[index]?.beside),
+      costSince(fleet.upstreamNode, before[index]?.upstreamNode),
       count,
     ),
   ]);
 }
 
-/** Retries come on connections of their own. */
+/** Measures new connections as well, because clients may retry on a new connection. */
 async function measureStorm(
   fleets: readonly Fleet[],
 ): Promise<readonly string[]> {
   const lines: string[] = [];
   for (const fleet of fleets) {
-    const untilMillis = performance.now() + STORM_LEARN_MILLIS;
+    const untilMillis = performance.now() + STORM_WARM_UP_MILLIS;
     const storm: Batch = {
-      count: TURN_COUNT,
+      count: BATCH_COUNT,
       concurrentCount: STORM_CONCURRENT_COUNT,
       agent: false,
     };
     while (performance.now() < untilMillis) {
-      await sendBatch(entryOf(fleet), '/storm/1', storm);
+      await sendBatch(endpointOf(fleet), '/storm/1', storm);
     }
     for (const [label, agent] of [
       ['a new connection', false],
       ['a kept connection', fleet.agent],
     ] as const) {
-      const before = fleet.entry.cost();
-      const servedCount = await sendBatch(entryOf(fleet), '/storm/1', {
+      const before = fleet.entryNode.cost();
+      const servedCount = await sendBatch(endpointOf(fleet), '/storm/1', {
         ...storm,
         agent,
         count: COLD_COUNT,
       });
-      const spent = spentSince(fleet.entry, before);
+      const cost = costSince(fleet.entryNode, before);
       const name = `${fleet.name} (${String(servedCount)} of ${String(COLD_COUNT)} served)`;
-      lines.push(line(`storm request on ${label}`, name, spent, COLD_COUNT));
+      lines.push(
+        formatLine(`storm request on ${label}`, name, cost, COLD_COUNT),
+      );
     }
   }
   return lines;
 }
 
-function entryOf({entry, outboundPort}: Fleet): BenchEndpoint {
-  return {address: entry.address, outboundPort};
+function endpointOf({entryNode, outboundPort}: Fleet): BenchEndpoint {
+  return {address: entryNode.address, outboundPort};
 }
 
 interface FleetCosts {
-  readonly entry: ProcessCost;
-  readonly beside: ProcessCost;
+  readonly entryNode: ProcessCost;
+  readonly upstreamNode: ProcessCost;
 }
 
-function costs({entry, beside}: Fleet): FleetCosts {
-  return {entry: entry.cost(), beside: beside.cost()};
+function readCosts({entryNode, upstreamNode}: Fleet): FleetCosts {
+  return {entryNode: entryNode.cost(), upstreamNode: upstreamNode.cost()};
 }
 
-function spentSince(
+function costSince(
   node: NodeProcess,
   before: ProcessCost | undefined,
 ): ProcessCost {
@@ -269,19 +271,19 @@
   };
 }
 
-function line(
+function formatLine(
   label: string,
   name: string,
-  spent: ProcessCost,
+  cost: ProcessCost,
   count: number,
 ): string {
-  const millis = (spent.cpuMillis / count).toFixed(3);
-  const own = (spent.userCpuMillis / count).toFixed(3);
-  const wakes = (spent.wakeupsCount / count).toFixed(2);
-  return `${label}: ${millis} ms (own code ${own}), ${wakes} wakes; ${name}`;
+  const cpuMillis = (cost.cpuMillis / count).toFixed(3);
+  const userMillis = (cost.userCpuMillis / count).toFixed(3);
+  const wakeups = (cost.wakeupsCount / count).toFixed(2);
+  return `${label}: ${cpuMillis} ms (user mode ${userMillis}), ${wakeups} wakeups; ${name}`;
 }
 
-async function untilReady(address: string, port: number): Promise<void> {
+async function waitUntilReady(address: string, port: number): Promise<void> {
   while (!(await isReady(address, port))) await sleep(20);
 }
 
--- a/bench/decisions_bench.ts
+++ b/bench/decisions_bench.ts
@@ -1,6 +1,6 @@
 /**
- * Cost of each decision as the fleet grows: with few and with many upstreams,
- * in one run, as microseconds and as a ratio.
+ * Measures how the cost of each decision grows with the fleet: microseconds with few and
+ * with many upstreams in one run, and their ratio.
  */
 import {createEntryAdmission} from '../src/process/admission/entry_admission.js';
 import {createLoadTable} from '../src/process/admission/load_table.js';
@@ -11,11 +11,11 @@
 import {createCrashQuarantine} from '../src/request/crash_quarantine.js';
 import {createUpstreamQueue} from '../src/process/admission/upstream_queue.js';
 
-/** Fleets compared: today's larger one, and the size to design for. */
+/** Compared fleets: the larger current one, and the size that the design targets. */
 const SMALL = {servicesCount: 4, upstreamsCount: 15};
 const LARGE = {servicesCount: 34, upstreamsCount: 830};
 
-/** Rounds of one measurement. */
+/** Calls per measurement. */
 const ROUNDS_COUNT = 20_000;
 
 const MICROS_PER_MILLI = 1000;
@@ -32,7 +32,10 @@
 
 const DECISIONS: readonly Decision[] = [
   {name: 'placement', prepare: preparePlacement},
-  {name: 'gate, three services deep', prepare: prepareGate},
+  {
+    name: 'entry admission, calls to three services',
+    prepare: prepareEntryAdmission,
+  },
   {name: 'queue, offer and release', prepare: prepareQueue},
   {name: 'entry of one upstream changes', prepare: prepareEntryChange},
   {name: 'quarantine, no suspect', prepare: () => prepareQuarantine(0)},
@@ -42,17 +45,17 @@
   },
 ];
 
-/** Measures every decision at both sizes. */
+/** Measures every decision with both fleets. */
 export function measureDecisions(): Promise<readonly string[]> {
   const lines = DECISIONS.map(({name, prepare}) => {
-    const small = microsOf(prepare(SMALL));
-    const large = microsOf(prepare(LARGE));
+    const small = measureMicros(prepare(SMALL));
+    const large = measureMicros(prepare(LARGE));
     return `${name}: ${small.toFixed(2)} us at ${String(SMALL.upstreamsCount)} upstreams, ${large.toFixed(2)} us at ${String(LARGE.upstreamsCount)} (${(large / small).toFixed(1)} times)`;
   });
   return Promise.resolve(lines);
 }
 
-function microsOf(run: (round: number) => void): number {
+function measureMicros(run: (round: number) => void): number {
   for (let round = 0; round < ROUNDS_COUNT; round += 1) run(round);
   const startMillis = performance.now();
   for (let round = 0; round < ROUNDS_COUNT; round += 1) run(round);
@@ -60,7 +63,7 @@
   return (spentMillis * MICROS_PER_MILLI) / ROUNDS_COUNT;
 }
 
-function entriesOf(size: FleetSize): readonly UpstreamEntry[] {
+function createEntries(size: FleetSize): readonly UpstreamEntry[] {
   return Array.from({length: size.upstreamsCount}, (_, index) => ({
     id: `u-${String(index)}`,
     service: `service-${String(index % size.servicesCount)}`,
@@ -76,14 +79,14 @@
   }));
 }
 
-function createPictures(size: FleetSize) {
+function createNodeState(size: FleetSize) {
   const nowMillis = (): number => performance.now();
   const loadTable = createLoadTable(nowMillis);
   const directory = createUpstreamDirectory({
     nowMillis,
     onChange: () => undefined,
   });
-  const entries = entriesOf(size);
+  const entries = createEntries(size);
   directory.put(entries);
   for (const entry of entries) {
     loadTable.observe({
@@ -101,7 +104,7 @@
 }
 
 function preparePlacement(size: FleetSize): (round: number) => void {
-  const {loadTable, directory, nowMillis} = createPictures(size);
+  const {loadTable, directory, nowMillis} = createNodeState(size);
   const chooser = createPlacementChooser({
     directory,
     loadTable,
@@ -111,24 +114,28 @@
     nowMillis,
     random: Math.random,
   });
-  const nobody = new Set<string>();
+  const noIds = new Set<string>();
   return round => {
     const service = `service-${String(round % size.servicesCount)}`;
-    chooser.choose(service, nobody)?.end('served');
+    chooser.choose(service, noIds)?.end('served');
   };
 }
 
-function prepareGate(size: FleetSize): (round: number) => void {
-  const {loadTable} = createPictures(size);
-  const gate = createEntryAdmission(loadTable, () => true);
-  const tree = new Map([
+function prepareEntryAdmission(size: FleetSize): (round: number) => void {
+  const {loadTable} = createNodeState(size);
+  const entryAdmission = createEntryAdmission(loadTable, () => true);
+  const callCounts = new Map([
     ['service-1', 1],
     ['service-2', 4],
     ['service-3', 2],
   ]);
   return round => {
     const attemptId = `attempt-${String(round)}`;
-    gate.shedCause({importance: 130, attemptId}, 'service-0', tree);
+    entryAdmission.shedCause(
+      {importance: 130, attemptId},
+      'service-0',
+      callCounts,
+    );
   };
 }
 
@@ -147,12 +154,12 @@
   };
 }
 
-/** Requests in progress under each crash. */
+/** Requests in flight at each crash. */
 const SUSPECTS_COUNT = 20;
 
 const BODY = Buffer.alloc(4096);
 
-/** What a node asks of each request that enters. */
+/** Checks whether a request is quarantined, as a node does for each client request. */
 function prepareQuarantine(crashesCount: number): (round: number) => void {
   const evidence = createCrashEvidence({
     nowMillis: () => performance.now(),
@@ -163,7 +170,7 @@
     const crashId = `crash-${String(index)}`;
     const fingerprints = Array.from(
       {length: SUSPECTS_COUNT},
-      (_, suspect) => `${crashId}-${String(suspect)}`,
+      (_, suspectIndex) => `${crashId}-${String(suspectIndex)}`,
     );
     evidence.add([
       {
@@ -193,7 +200,7 @@
 }
 
 function prepareEntryChange(size: FleetSize): (round: number) => void {
-  const {directory, entries} = createPictures(size);
+  const {directory, entries} = createNodeState(size);
   return round => {
     const entry = entries[round % entries.length];
     if (entry !== undefined) directory.put([entry]);
--- a/bench/latency_bench.ts
+++ b/bench/latency_bench.ts
@@ -1,31 +1,31 @@
 /**
- * Latency that nodes add: the same requests straight to an upstream, through
- * its own node, and through two nodes.
+ * Measures the latency that nodes add: the same requests are sent directly to an upstream,
+ * through its own node, and through two nodes.
  */
 import http from 'node:http';
 import type {FleetHost} from '../test/fakes/platform_fleet.js';
 import {FLEET_HOST_NAME} from '../test/fakes/fleet_client.js';
 import {createPath, startPlatformFleet} from '../test/fakes/platform_fleet.js';
 
-/** Requests of each way, after as many tenths to warm up. */
+/** Requests of each variant, and the ratio of additional requests to warm up. */
 const REQUESTS_COUNT = 3000;
 const WARM_UP_RATIO = 0.1;
 
-interface Way {
+interface Variant {
   readonly name: string;
   readonly address: string;
   readonly port: number;
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** Measures the ways in turn, request by request, so that they share the load. */
+/** Alternates the variants request by request, so that the machine's load affects all alike. */
 export async function measureLatency(): Promise<readonly string[]> {
   const fleet = await startPlatformFleet({
     services: ['atlas', 'orders'],
     paths: [createPath()],
   });
   const [atlas, orders] = fleet.hosts as readonly [FleetHost, FleetHost];
-  const ways: readonly Way[] = [
+  const variants: readonly Variant[] = [
     {
       name: 'direct',
       address: orders.address,
@@ -45,36 +45,42 @@
       headers: {},
     },
   ];
-  const samples = new Map(ways.map(way => [way.name, [] as number[]]));
+  const samples = new Map(
+    variants.map(variant => [variant.name, [] as number[]]),
+  );
   const agent = new http.Agent({keepAlive: true});
   const warmUpCount = REQUESTS_COUNT * WARM_UP_RATIO;
   for (let index = 0; index < REQUESTS_COUNT + warmUpCount; index += 1) {
-    for (const way of ways) {
+    for (const variant of variants) {
       const millis = await timeRequest(
-        way,
+        variant,
         agent,
-        `${way.name}-${String(index)}`,
+        `${variant.name}-${String(index)}`,
       );
-      if (index >= warmUpCount) samples.get(way.name)?.push(millis);
+      if (index >= warmUpCount) samples.get(variant.name)?.push(millis);
     }
   }
   await fleet.close();
-  return report(ways, samples);
+  return report(variants, samples);
 }
 
-function timeRequest(way: Way, agent: http.Agent, id: string): Promise<number> {
+function timeRequest(
+  variant: Variant,
+  agent: http.Agent,
+  id: string,
+): Promise<number> {
   return new Promise((resolve, reject) => {
     const startMillis = performance.now();
     const request = http.get({
       agent,
-      host: way.address,
-      port: way.port,
+      host: variant.address,
+      port: variant.port,
       path: '/a/1',
       headers: {
         host: FLEET_HOST_NAME,
         'attempt-id': id.replaceAll(' ', '-'),
         'timeout-ms': '5000',
-        ...way.headers,
+        ...variant.headers,
       },
     });
     request.on('error', reject);
@@ -88,11 +94,11 @@
 }
 
 function report(
-  ways: readonly Way[],
+  variants: readonly Variant[],
   samples: ReadonlyMap<string, readonly number[]>,
 ): readonly string[] {
   const direct = quantiles(samples.get('direct') ?? []);
-  return ways.map(({name}) => {
+  return variants.map(({name}) => {
     const {p50, p99} = quantiles(samples.get(name) ?? []);
     const added = `added p50 ${(p50 - direct.p50).toFixed(2)} ms, p99 ${(p99 - direct.p99).toFixed(2)} ms`;
     const ratio = `${(p50 / direct.p50).toFixed(2)} times direct`;
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,5 +1,5 @@
 /**
- * Measurements, each as ratios within one run: `npm run bench -- [NAME]`.
+ * Runs the benchmarks, which compare results within one run: `npm run bench -- [NAME]`.
  */
 import {measureCost} from './cost_bench.js';
 import {measureDecisions} from './decisions_bench.js';
@@ -14,14 +14,17 @@
     ['quotas', measureQuotas],
   ]);
 
-const [wanted] = process.argv.slice(2);
-const names = wanted === undefined ? [...MEASUREMENTS.keys()] : [wanted];
+const [requestedName] = process.argv.slice(2);
+const names =
+  requestedName === undefined ? [...MEASUREMENTS.keys()] : [requestedName];
 
 for (const name of names) {
   const measure = MEASUREMENTS.get(name);
   if (measure === undefined) {
     const known = [...MEASUREMENTS.keys()].join(', ');
-    process.stderr.write(`No measurement '${name}'; there are ${known}.\n`);
+    process.stderr.write(
+      `Unknown benchmark '${name}'; expected one of: ${known}.\n`,
+    );
     process.exit(2);
   }
   const lines = await measure();
--- a/bench/quota_bench.ts
+++ b/bench/quota_bench.ts
@@ -1,5 +1,5 @@
 /**
- * Ways of keeping a quota over a fleet, replayed with the same loads:
+ * Compares strategies to enforce a quota in a simulated fleet under the same loads:
  * `npm run bench -- quotas`.
  */
 import type {QuotaStrategy} from '../test/fakes/quota_simulation.js';
@@ -16,7 +16,7 @@
   leasedTokens,
 } from '../test/fakes/quota_strategies.js';
 
-const WAYS: readonly (readonly [string, QuotaStrategy])[] = [
+const STRATEGIES: readonly (readonly [string, QuotaStrategy])[] = [
   ['even shares', evenShares],
   ['exchanged counts', exchangedCounts],
   ['leased tokens', leasedTokens],
@@ -34,16 +34,16 @@
 const NODES_COUNT = 57;
 const RATES_PER_SECOND = [12, 338];
 
-/** Replays each way and prints a row for each load. */
+/** Simulates each strategy; returns a table with a row for each load. */
 export async function measureQuotas(): Promise<readonly string[]> {
   const lines = [
-    '| way | rate | load | worst window | served | messages/s | bytes/s |',
+    '| strategy | rate | load | worst window | served | messages/s | bytes/s |',
     '|---|---|---|---|---|---|---|',
   ];
-  for (const [title, way] of WAYS) {
+  for (const [title, strategy] of STRATEGIES) {
     for (const ratePerSecond of RATES_PER_SECOND) {
       for (const name of NAMES) {
-        lines.push(await measure(title, way, name, ratePerSecond));
+        lines.push(await measure(title, strategy, name, ratePerSecond));
       }
     }
   }
@@ -52,11 +52,11 @@
 
 async function measure(
   title: string,
-  way: QuotaStrategy,
+  strategy: QuotaStrategy,
   name: ScenarioName,
   ratePerSecond: number,
 ): Promise<string> {
-  const outcome = await simulateQuota(way, {
+  const result = await simulateQuota(strategy, {
     nodesCount: NODES_COUNT,
     ratePerSecond,
     seed: 1,
@@ -67,10 +67,10 @@
     title,
     String(ratePerSecond),
     name,
-    outcome.worstRatio.toFixed(2),
-    outcome.servedRatio.toFixed(3),
-    outcome.messagesPerSecond.toFixed(1),
-    outcome.bytesPerSecond.toFixed(0),
+    result.worstRatio.toFixed(2),
+    result.servedRatio.toFixed(3),
+    result.messagesPerSecond.toFixed(1),
+    result.bytesPerSecond.toFixed(0),
   ];
   return `| ${cells.join(' | ')} |`;
 }
