--- a/test/fakes/quota_strategies.ts
+++ b/test/fakes/quota_strategies.ts
@@ -20,7 +20,7 @@
 import type {QuotaNodeOptions, QuotaStrategy} from './quota_simulation.js';
 import {zoneOf} from './quota_simulation.js';
 
-interface ReplayedHost extends ZonedHost {
+interface SimulatedHost extends ZonedHost {
   readonly index: number;
 }
 
@@ -28,10 +28,10 @@
 export const coordinatedCounts: QuotaStrategy = options => {
   const {index, fleet, nowMillis, random} = options;
   const {bound, clock} = fleet;
-  const hosts: readonly ReplayedHost[] = hostsOf(fleet.nodesCount);
+  const hosts: readonly SimulatedHost[] = hostsOf(fleet.nodesCount);
   const ownHostKey = hosts[index]!.hostKey;
   const reachability = createZoneReachability(nowMillis);
-  const coordinatorChooser = createCoordinatorChooser<ReplayedHost>({
+  const coordinatorChooser = createCoordinatorChooser<SimulatedHost>({
     hosts: () => hosts,
     ownHostKey,
     reachability,
@@ -45,7 +45,7 @@
     reachableRatio: coordinatorChooser.reachableRatio,
     nowMillis,
   });
-  const enforcer = createQuotaEnforcer<ReplayedHost>({
+  const enforcer = createQuotaEnforcer<SimulatedHost>({
     reporterId: `${String(index)}/${String(options.startsCount)}`,
     ownHostKey,
     zone: hosts[index]!.zone,
@@ -88,9 +88,9 @@
   };
 };
 
-let cachedHosts: readonly ReplayedHost[] = [];
+let cachedHosts: readonly SimulatedHost[] = [];
 
-function hostsOf(nodesCount: number): readonly ReplayedHost[] {
+function hostsOf(nodesCount: number): readonly SimulatedHost[] {
   if (cachedHosts.length !== nodesCount) {
     cachedHosts = Array.from({length: nodesCount}, (_, index) => ({
       index,
--- a/test/unit/process/admission/fleet_overload.test.ts
+++ b/test/unit/process/admission/fleet_overload.test.ts
@@ -28,7 +28,7 @@
 ];
 
 /** Client load relative to the capacity of the catalogue: 1 is its limit. */
-function replayAt(
+function simulateAt(
   ratio: number,
   seed: number,
   seconds: number,
@@ -93,17 +93,17 @@
     // among equals the queue took the oldest, so that none got all of its
     // calls; the queue of the fast upstream counted as an overload of the
     // service; and the nodes of the service each shed at a different level.
-    const outcome = replayAt(1.6, seed, 7);
-    const runs = [...outcome.services.values()].map(seconds =>
+    const result = simulateAt(1.6, seed, 7);
+    const runs = [...result.services.values()].map(seconds =>
       sumSeconds(seconds, SETTLED_SECOND),
     );
     const runCount = runs.reduce((sum, run) => sum + run.runCount, 0);
     const usefulCount = runs.reduce((sum, run) => sum + run.usefulCount, 0);
     const served = (name: string): number => {
-      const part = sumSeconds(outcome.routes.get(name)!, SETTLED_SECOND);
+      const part = sumSeconds(result.routes.get(name)!, SETTLED_SECOND);
       return (part.inTimeCount + part.lateCount) / part.sentCount;
     };
-    const atlas = sumSeconds(outcome.services.get('atlas')!, SETTLED_SECOND);
+    const atlas = sumSeconds(result.services.get('atlas')!, SETTLED_SECOND);
     t.log(
       usefulCount / runCount,
       atlas.usefulCount / atlas.runCount,
@@ -120,8 +120,8 @@
 }
 
 test('a fleet within its capacity serves every request', t => {
-  const outcome = replayAt(0.8, 4, 4);
-  for (const [name, seconds] of outcome.routes) {
+  const result = simulateAt(0.8, 4, 4);
+  for (const [name, seconds] of result.routes) {
     const {inTimeCount, sentCount} = sumSeconds(seconds, 0);
     t.true(inTimeCount > 0.96 * sentCount, name);
   }
@@ -138,9 +138,9 @@
       ? {...service, rejectRatios: [0.55, 0, 0.55, 0.55]}
       : service,
   );
-  const outcome = replayAt(0.8, 5, 7, rejecting);
-  const order = sumSeconds(outcome.routes.get('order')!, SETTLED_SECOND);
-  const all = [...outcome.routes.values()].map(seconds =>
+  const result = simulateAt(0.8, 5, 7, rejecting);
+  const order = sumSeconds(result.routes.get('order')!, SETTLED_SECOND);
+  const all = [...result.routes.values()].map(seconds =>
     sumSeconds(seconds, SETTLED_SECOND),
   );
   const sentCount = all.reduce((sum, part) => sum + part.sentCount, 0);
--- a/test/unit/process/placement/placement_fleet.test.ts
+++ b/test/unit/process/placement/placement_fleet.test.ts
@@ -1,5 +1,5 @@
 /**
- * Replays the choices of many nodes in a service with more upstreams than one
+ * Simulates the choices of many nodes in a service with more upstreams than one
  * node sends requests in a second.
  */
 import test from 'ava';
--- a/test/unit/process/quota/quota_fleet.test.ts
+++ b/test/unit/process/quota/quota_fleet.test.ts
@@ -12,7 +12,7 @@
 } from '../../../fakes/quota_scenarios.js';
 import {coordinatedCounts} from '../../../fakes/quota_strategies.js';
 
-function replay(
+function simulate(
   name: ScenarioName,
   fleet: {nodesCount: number; ratePerSecond: number; seed?: number},
 ): Promise<QuotaResult> {
@@ -38,7 +38,7 @@
   const title = `${String(nodesCount)} nodes, ${String(ratePerSecond)} a second`;
   test(`no window exceeds what the quota tolerates: ${title}`, async t => {
     for (const name of NAMES) {
-      const {worstRatio} = await replay(name, fleet);
+      const {worstRatio} = await simulate(name, fleet);
       t.true(worstRatio <= 1, `${name}: ${worstRatio.toFixed(3)}`);
     }
   });
@@ -54,7 +54,7 @@
 
 test('no window exceeds what the quota tolerates: large fleets', async t => {
   for (const [name, nodesCount, ratePerSecond] of LARGE_FLEETS) {
-    const {worstRatio} = await replay(name, {nodesCount, ratePerSecond});
+    const {worstRatio} = await simulate(name, {nodesCount, ratePerSecond});
     t.true(worstRatio <= 1, `${name}: ${worstRatio.toFixed(3)}`);
   }
 });
@@ -62,14 +62,14 @@
 test('requests within a quota are served', async t => {
   for (const fleet of SMALL_FLEETS) {
     for (const name of ['usual', 'surge just to the limit'] as const) {
-      const {servedRatio} = await replay(name, fleet);
+      const {servedRatio} = await simulate(name, fleet);
       t.true(servedRatio > 0.99, `${name}: ${servedRatio.toFixed(3)}`);
     }
   }
 });
 
 test('an organisation at its quota has its urgent requests served first', async t => {
-  const {urgentRatio, otherRatio} = await replay('surge at all nodes', {
+  const {urgentRatio, otherRatio} = await simulate('surge at all nodes', {
     nodesCount: 57,
     ratePerSecond: 338,
   });
@@ -78,7 +78,7 @@
 
 test("quota messages stay a small part of a node's permitted traffic", async t => {
   for (const fleet of SMALL_FLEETS) {
-    const {bytesPerSecond} = await replay('surge at all nodes', fleet);
+    const {bytesPerSecond} = await simulate('surge at all nodes', fleet);
     t.true(bytesPerSecond < 1000, bytesPerSecond.toFixed(0));
   }
 });
