--- a/test/fakes/console_page.ts
+++ b/test/fakes/console_page.ts
@@ -1,5 +1,5 @@
 /**
- * Reads pages of the console as a browser would.
+ * Parses a page of the operator console, as a browser or a user reads it.
  */
 
 const CONTROL_PATTERN = /<input([^>]*)>|<select([^>]*)>([\s\S]*?)<\/select>/g;
@@ -11,7 +11,7 @@
   '#39': "'",
 };
 
-/** Returns the names and values of all controls of a page. */
+/** Returns the names and values of all form controls of a page. */
 export function readFields(page: string): URLSearchParams {
   const fields = new URLSearchParams();
   for (const [, input, select = '', options = ''] of page.matchAll(
@@ -28,15 +28,15 @@
   return fields;
 }
 
-/** Returns the problems shown beside fields, by form name. */
+/** Returns the messages shown beside fields, by field name. */
 export function readProblems(page: string): ReadonlyMap<string, string> {
-  const places = page.matchAll(/data-problem-of="([^"]*)">([^<]+)</g);
+  const matches = page.matchAll(/data-problem-of="([^"]*)">([^<]+)</g);
   return new Map(
-    [...places].map(([, name = '', text = '']) => [name, unescapeText(text)]),
+    [...matches].map(([, name = '', text = '']) => [name, unescapeText(text)]),
   );
 }
 
-/** Reverses the escaping of text. */
+/** Decodes the HTML entities that the console writes. */
 export function unescapeText(markup: string): string {
   return markup.replace(
     /&(amp|lt|gt|quot|#39);/g,
