--- a/test/unit/connection/document_follower_load.test.ts
+++ b/test/unit/connection/document_follower_load.test.ts
@@ -20,7 +20,7 @@
   peerPositions: PeerPositions,
 ) => void;
 
-interface ReplayResult {
+interface SimulationResult {
   readonly callsPerSecond: number;
   /** Longest time from a change to its receipt. */
   readonly worstDelayMillis: number;
@@ -29,11 +29,11 @@
 }
 
 /** Follows a source for a simulated time; `script` runs at every step. */
-async function replay(
+async function simulate(
   seconds: number,
   applyWithinMillis: number,
   script: SourceScript,
-): Promise<ReplayResult> {
+): Promise<SimulationResult> {
   const clock = {millis: 0};
   let worstDelayMillis = 0;
   const reachedMillis: number[] = [];
@@ -113,7 +113,7 @@
     [20, 830],
   ] as const) {
     const script = changeEvery(intervalMillis, entriesCount);
-    const {callsPerSecond, worstDelayMillis} = await replay(60, 2500, script);
+    const {callsPerSecond, worstDelayMillis} = await simulate(60, 2500, script);
     t.true(
       callsPerSecond <= 0.53,
       `${String(callsPerSecond)} calls per second`,
@@ -123,24 +123,24 @@
 });
 
 test('an idle node makes less than one call in three seconds', async t => {
-  const {callsPerSecond} = await replay(60, 2000, () => undefined);
+  const {callsPerSecond} = await simulate(60, 2000, () => undefined);
   t.true(callsPerSecond <= 0.34, `${String(callsPerSecond)} calls per second`);
 });
 
 test('a change after an idle period is received immediately', async t => {
-  const {worstDelayMillis} = await replay(30, 2000, changeEvery(6000, 5));
+  const {worstDelayMillis} = await simulate(30, 2000, changeEvery(6000, 5));
   t.true(worstDelayMillis <= 2 * STEP_MILLIS);
 });
 
 test('a shorter bound shortens the batching pause', async t => {
-  const {worstDelayMillis} = await replay(30, 2000, changeEvery(130, 69));
+  const {worstDelayMillis} = await simulate(30, 2000, changeEvery(130, 69));
   t.true(worstDelayMillis <= 1600, `${String(worstDelayMillis)} ms`);
 });
 
 test('a source that refuses calls is called about once per second', async t => {
   // While the store was unavailable for 9 s, a node made 13 calls per second, each
   // billed: both watches were retried after 100 to 200 ms without a backoff.
-  const {callsPerSecond, reachedMillis} = await replay(
+  const {callsPerSecond, reachedMillis} = await simulate(
     20,
     2000,
     (source, atMillis) => {
@@ -157,7 +157,7 @@
 });
 
 test('the recovery of a silent source is detected in time', async t => {
-  const {reachedMillis} = await replay(20, 2000, (source, atMillis) => {
+  const {reachedMillis} = await simulate(20, 2000, (source, atMillis) => {
     if (atMillis === 1000) source.setState('silent');
     if (atMillis === 12_340) source.setState('healthy');
   });
@@ -170,7 +170,7 @@
 
 test('changes take effect in time while the history is compacted', async t => {
   const changeEntries = changeEvery(130, 69);
-  const {callsPerSecond, worstDelayMillis} = await replay(
+  const {callsPerSecond, worstDelayMillis} = await simulate(
     30,
     2500,
     (source, atMillis, peerPositions) => {
@@ -187,7 +187,7 @@
   // A version took effect 3.4 to 3.5 s late at five of nine nodes, which refused
   // requests for its route. Their watches began while the source dropped its
   // history, and reported the loss only when they timed out.
-  const {worstDelayMillis, callsPerSecond} = await replay(
+  const {worstDelayMillis, callsPerSecond} = await simulate(
     30,
     2000,
     (source, atMillis, peerPositions) => {
@@ -207,7 +207,7 @@
 
 test('the first watch after a pause has a short timeout', async t => {
   // As above, when all nodes batch changes at once and none receives the version.
-  const {worstDelayMillis, callsPerSecond} = await replay(
+  const {worstDelayMillis, callsPerSecond} = await simulate(
     30,
     2000,
     (source, atMillis) => {
@@ -226,7 +226,7 @@
   // A faulty node, or one of another fleet, could cause continuous calls from all
   // other nodes. Each pause of 1.5 s is followed by a short watch, one that is
   // cancelled after 0.4 s, and a read.
-  const {callsPerSecond} = await replay(
+  const {callsPerSecond} = await simulate(
     30,
     2000,
     (_source, atMillis, peerPositions) => {
--- a/test/unit/connection/peer_relay_load.test.ts
+++ b/test/unit/connection/peer_relay_load.test.ts
@@ -245,14 +245,14 @@
   await simulateRelayFleet(SMALL, fleet =>
     Effect.gen(function* () {
       yield* fleet.run(START_MILLIS);
-      for (let drill = 0; drill < 4; drill += 1) {
+      for (let round = 0; round < 4; round += 1) {
         const restore = fleet.takeSnapshot();
         yield* fleet.run(1500, atMillis => {
           if (atMillis % 200 !== 0) return;
-          fleet.change(`servers/${String(drill)}-${String(atMillis % 1000)}`);
+          fleet.change(`servers/${String(round)}-${String(atMillis % 1000)}`);
         });
         // One node cannot reach the restored store and relays its old documents.
-        const disconnectedNode = fleet.nodes[drill * 5];
+        const disconnectedNode = fleet.nodes[round * 5];
         disconnectedNode?.source.setState('silent');
         restore();
         for (let count = 0; count < 3; count += 1) fleet.change('op/config');
--- a/test/unit/daemon/restored_source_model.test.ts
+++ b/test/unit/daemon/restored_source_model.test.ts
@@ -124,7 +124,7 @@
 }
 
 /** Records violations: entries in use after they drained or left, or removed while running. */
-function createInvariantChecker(world: () => SimulatedPublishers) {
+function createInvariantChecker(publishers: () => SimulatedPublishers) {
   const violations: string[] = [];
   const departedEntries = new Map<string, UpstreamEntry>();
   const drained = new Set<string>();
@@ -137,7 +137,7 @@
       if (kind === 'draining') drained.add(startOf(entry));
       if (kind !== 'left') return;
       departedEntries.set(startOf(entry), entry);
-      const isAlive = world().upstreams.some(
+      const isAlive = publishers().upstreams.some(
         upstream =>
           upstream.isAlive &&
           upstream.id === entry.id &&
@@ -164,8 +164,8 @@
   const clock = {millis: 0};
   const random = createSeededRandom(seed);
   const source = createSimulatedSource(() => clock.millis);
-  const world = createSimulatedPublishers(source, UPSTREAMS_COUNT, random);
-  const checker = createInvariantChecker(() => world);
+  const publishers = createSimulatedPublishers(source, UPSTREAMS_COUNT, random);
+  const checker = createInvariantChecker(() => publishers);
   const configuration = createConfigurationHolder();
   const directory = createUpstreamDirectory({
     nowMillis: () => clock.millis,
@@ -204,10 +204,10 @@
       while (remainingActs.length > 0 && atMillis >= nextMillis) {
         const act = remainingActs.shift();
         if (act === undefined) break;
-        world.apply(act, atMillis);
+        publishers.apply(act, atMillis);
         nextMillis += act.pauseMillis;
       }
-      world.tick(atMillis);
+      publishers.tick(atMillis);
       if (atMillis % EXPIRE_INTERVAL_MILLIS === 0) directory.removeExpired();
       for (const {entry} of directory.listReady('orders')) {
         checker.checkReady(entry);
@@ -219,9 +219,9 @@
   });
   const [violation] = checker.violations;
   if (violation !== undefined) throw new Error(violation);
-  checkEnd(world, source, {
+  checkEnd(publishers, source, {
     version: configuration.current()?.version ?? 0,
-    entries: world.upstreams
+    entries: publishers.upstreams
       .map(({id}) => directory.find(id)?.entry)
       .filter(entry => entry !== undefined),
   });
@@ -233,7 +233,7 @@
 }
 
 function checkEnd(
-  world: SimulatedPublishers,
+  publishers: SimulatedPublishers,
   source: SimulatedSource,
   node: NodeState,
 ): void {
@@ -245,7 +245,7 @@
   if (JSON.stringify(known) !== JSON.stringify(published)) {
     throw new Error(`${published.join()} published, ${known.join()} known`);
   }
-  const living = world.upstreams.filter(({isAlive}) => isAlive);
+  const living = publishers.upstreams.filter(({isAlive}) => isAlive);
   if (published.length !== living.length) {
     throw new Error(
       'The published entries do not match the running upstreams.',
--- a/test/unit/process/admission/admission_level.test.ts
+++ b/test/unit/process/admission/admission_level.test.ts
@@ -18,7 +18,7 @@
   readonly byRank: readonly number[];
 }
 
-interface Replay {
+interface SimulationResult {
   /** Admitted share of each rank over the last ten windows. */
   readonly admittedRatios: readonly number[];
   readonly largestQueuedCount: number;
@@ -29,7 +29,7 @@
  * Replays windows of demand. Calls reach the upstream one window after the
  * entry node has admitted their request, as below two other services.
  */
-function replay(windows: readonly WindowDemand[]): Replay {
+function simulate(windows: readonly WindowDemand[]): SimulationResult {
   const level = createAdmissionLevel();
   let published = level.level();
   let queuedCount = 0;
@@ -78,7 +78,9 @@
 }
 
 test('an upstream within its capacity admits every request', t => {
-  const {finalLevel, largestQueuedCount} = replay(repeat([0.4, 0.1, 0.4], 30));
+  const {finalLevel, largestQueuedCount} = simulate(
+    repeat([0.4, 0.1, 0.4], 30),
+  );
   t.is(finalLevel, LEAST_IMPORTANT);
   t.is(largestQueuedCount, 0);
 });
@@ -88,21 +90,21 @@
   // one service, which rejects some call of almost each request unless the
   // entry nodes shed by importance. Demand is 1.7 times the capacity here, 0.9
   // of it unimportant.
-  const {admittedRatios} = replay(repeat([0.6, 0.2, 0.9], 60));
+  const {admittedRatios} = simulate(repeat([0.6, 0.2, 0.9], 60));
   t.is(admittedRatios[0], 1);
   t.is(admittedRatios[1], 1);
   t.true(admittedRatios[2]! > 0.1 && admittedRatios[2]! < 0.45);
 });
 
 test('a rank that alone exceeds the capacity is shed partially', t => {
-  const {admittedRatios} = replay(repeat([1.8, 0.2], 80));
+  const {admittedRatios} = simulate(repeat([1.8, 0.2], 80));
   t.true(admittedRatios[0]! > 0.4 && admittedRatios[0]! < 0.65);
   t.is(admittedRatios[1], 0);
 });
 
 test('the level recovers soon after the burst', t => {
   const calm = repeat([0.3, 0.1, 0.3], 25);
-  const {finalLevel, admittedRatios} = replay([
+  const {finalLevel, admittedRatios} = simulate([
     ...repeat([0.6, 0.2, 0.9], 40),
     ...calm,
   ]);
