--- a/test/fakes/fleet_simulation.ts
+++ b/test/fakes/fleet_simulation.ts
@@ -84,7 +84,7 @@
     ]!;
     second.runCount += 1;
     const run: Run = {second, isServed: false};
-    root.serviceCounts.push(run);
+    root.runs.push(run);
     const counts = new Map<string, number>();
     let isOver = false;
     const finish = (end: CallResult): void => {
@@ -285,7 +285,7 @@
       importance: importanceOf(route.rank, id),
       beganAtMillis: nowMillis(),
       grant: createRetryGrant(DEFAULT_RETRIES_COUNT),
-      serviceCounts: [],
+      runs: [],
     };
     const handleRefused = (): void => {
       const leftMillis = firstMillis + clients.totalTimeoutMillis - nowMillis();
@@ -325,7 +325,7 @@
           if (millis <= route.objectiveMillis) secondCounts.inTimeCount += 1;
           else secondCounts.lateCount += 1;
           countUsefulRuns(root);
-        } else if (root.serviceCounts.length === 0) {
+        } else if (root.runs.length === 0) {
           handleRefused();
         } else {
           node.trees.observeFailed(route.name, calls);
--- a/test/fakes/simulated_calls.ts
+++ b/test/fakes/simulated_calls.ts
@@ -15,7 +15,7 @@
   readonly importance: number;
   readonly beganAtMillis: number;
   readonly grant: RetryGrant;
-  readonly serviceCounts: Run[];
+  readonly runs: Run[];
 }
 
 /** Execution of one call at an upstream. */
@@ -37,7 +37,7 @@
 
 /** Counts the successful runs of a request that was served as useful. */
 export function countUsefulRuns(root: RootRequest): void {
-  for (const {second, isServed} of root.serviceCounts) {
+  for (const {second, isServed} of root.runs) {
     if (isServed) second.usefulCount += 1;
   }
 }
--- a/test/fakes/simulated_publishers.ts
+++ b/test/fakes/simulated_publishers.ts
@@ -86,8 +86,8 @@
     source.change(VERSION_KEY, String(version));
   };
 
-  const restore = (ageCount: number, nowMillis: number): void => {
-    const snapshot = snapshots.at(-1 - ageCount) ?? snapshots[0];
+  const restore = (snapshotAgeCount: number, nowMillis: number): void => {
+    const snapshot = snapshots.at(-1 - snapshotAgeCount) ?? snapshots[0];
     if (snapshot === undefined) return;
     source.restore(snapshot);
     publishDueMillis = nowMillis + random() * HEARTBEAT_INTERVAL_MILLIS;
