--- a/src/cli/policy_changes.ts
+++ b/src/cli/policy_changes.ts
@@ -1,5 +1,6 @@
 /**
- * Finds the differences between two policies and whom each one affects.
+ * Finds the differences between two policies, and the hosts, nodes, callers,
+ * clients or requests that each one affects.
  */
 import type {
   Policy,
@@ -16,7 +17,7 @@
   readonly before: unknown;
   /** Undefined if the field or item was removed. */
   readonly after: unknown;
-  /** Whom the change affects. */
+  /** Hosts, nodes, callers, clients or requests that the change affects. */
   readonly concerns: string;
 }
 
--- a/src/cli/policy_diff_command.ts
+++ b/src/cli/policy_diff_command.ts
@@ -1,5 +1,6 @@
 /**
- * `fulmarhollow policy diff OLD NEW`: lists changes and whom they affect.
+ * `fulmarhollow policy diff OLD NEW`: lists changes, and the hosts, nodes,
+ * callers, clients or requests that each one affects.
  */
 import type {CommandModule} from 'yargs';
 import type {CommandOutput, ExitCode} from './command_output.js';
--- a/src/process/membership/missing_upstreams.ts
+++ b/src/process/membership/missing_upstreams.ts
@@ -15,7 +15,9 @@
   readonly count: number;
   /**
    * Records that an entry is missing: its removal was reported, or a read did
-   * not return it. Returns `awaited` if it was missing before.
+   * not return it. The caller removes the upstream if the result is `gone`, and
+   * otherwise leaves it in use: `kept` starts its grace period, and `awaited`
+   * means that the period is already running and nothing has changed.
    */
   markMissing(id: string, wasRemoved: boolean): MissingEntryState;
   /**
--- a/src/process/retries/hop_registry.ts
+++ b/src/process/retries/hop_registry.ts
@@ -9,7 +9,7 @@
   /** The hop has not arrived, and will be refused if it arrives later. */
   | {readonly state: 'unknown'}
   | {readonly state: 'working' | 'finished'; readonly hop: T}
-  /** The hop was answered, and its response is no longer kept. */
+  /** The hop was answered; its response was not retained or has been evicted. */
   | {readonly state: 'gone'};
 
 /** Hops that one node has received. */
--- a/src/process/retries/retry_budget.ts
+++ b/src/process/retries/retry_budget.ts
@@ -97,9 +97,9 @@
 /**
  * Share of a whole window's regular retries that a process may spend in its
  * first window: what regular retries leave of the limit, because the node's
- * previous process may have just spent its share. Without it, a service got 328
- * retries instead of 240 after a fleet lost power at its limit (replay of one
- * node that spends all it may before and after).
+ * previous process may have just spent its share. Without this reduction, a
+ * service whose fleet loses power at the limit can get 328 retries in ten
+ * seconds that allow 240.
  */
 const FIRST_WINDOW_RATIO = (1 - REGULAR_RATIO) / REGULAR_RATIO;
 
--- a/src/request/first_dispatch.ts
+++ b/src/request/first_dispatch.ts
@@ -38,9 +38,9 @@
 
 /**
  * Event loop turns to wait in addition. A process that is short of CPU time runs expired
- * timers before it reads pending sockets: at a load of twice the number of processors,
- * 7 of 12 bursts of 60 reads were dispatched before the rejection was read, and up to five
- * of these reads were refused.
+ * timers before it reads pending sockets. Without these turns, at a load of twice the
+ * number of processors, a burst of 60 reads can be dispatched before the rejection is read,
+ * and up to five of these reads are refused.
  */
 const HOLD_LOOP_TURNS_COUNT = 8;
 
--- a/test/contract/platform_stop_responses.test.ts
+++ b/test/contract/platform_stop_responses.test.ts
@@ -17,11 +17,11 @@
   ['the own upstream', '/own/1'],
 ] as const) {
   test(`a planned stop resets an incomplete response without a length: ${where}`, async t => {
-    // In a trial a client accepted 70,061 bytes of a response without a length
-    // as complete: the grace period of its node ended in the middle of the
-    // response, and a process that exits closes its connections normally, which
-    // is also how a response without a length ends. Here the upstream is still
-    // sending, and the stop must reset the connection before the process ends.
+    // A process that exits closes its connections normally, which is also how a
+    // response without a length ends: if the grace period ends in the middle of
+    // such a response, the client accepts a part of it (such as 70,061 bytes) as
+    // complete. While the upstream is still sending, as here, the stop must reset
+    // the connection before the process ends.
     const fleet = await startFleet(t, {
       services: ['shop', 'orders'],
       paths: [SAFE_PATH, OWN_PATH],
--- a/test/unit/request/first_dispatch.test.ts
+++ b/test/unit/request/first_dispatch.test.ts
@@ -36,10 +36,10 @@
 });
 
 test('a process that was short of CPU time reads pending responses before it dispatches', async t => {
-  // Guards against refused reads after a power loss: in 7 of 12 runs at a load of twice
-  // the number of processors, 55 to 59 of 60 simultaneous reads were served. The delay
-  // expired before the node had read the rejection, so all reads were dispatched with the
-  // old id, and some of the retries exceeded the budget.
+  // Guards against refused reads after a power loss. At a load of twice the number of
+  // processors, the delay can expire before the node has read the rejection: all of 60
+  // simultaneous reads are then dispatched with the old id, some of the retries exceed the
+  // budget, and only 55 to 59 reads are served.
   const firsts = createFirstDispatches();
   t.is(firsts.acquireTurn('u-1'), 'first');
   const behind = firsts.acquireTurn('u-1');
